--- a/bench/detection_faults.py
+++ b/bench/detection_faults.py
@@ -60,9 +60,9 @@
     server.errors = 1.0
     while not end.done():
         for node in world.frontends:
-            hint = getattr(node.outlier, 'hint', None)
-            if hint is not None:
-                hint(model.SERVICE, server.name, False)
+            record_hint = getattr(node.outlier, 'record_health_hint', None)
+            if record_hint is not None:
+                record_hint(model.SERVICE, server.name, False)
         await asyncio.wait([end], timeout=HINT_S)
     server.errors = 0.0
 
--- a/bench/detection_model.py
+++ b/bench/detection_model.py
@@ -1,9 +1,9 @@
 """A small model of upstreams and callers, for experiments on detection.
 
-Real ``outlier.service.Outlier`` parts run in virtual time over the network of
-``test.fakes``; upstreams, callers and the request path are modelled here as
-simply as they can be: servers with slots and a queue, Poisson arrivals at
-every node, power of two choices on requests in flight, no retries.
+Real ``outlier.service.OutlierDetection`` parts run in virtual time over the
+network of ``test.fakes``; upstreams, callers and the request path are
+modelled here as simply as they can be: servers with slots and a queue, Poisson
+arrivals at every node, power of two choices on requests in flight, no retries.
 """
 
 import asyncio
@@ -473,7 +473,7 @@
         me = self.members[number]
         transport = self.network.transport(me.gossip)
         others = [one for one in self.members if one.host != me.host]
-        return outliers.Outlier(
+        return outliers.OutlierDetection(
             members=fakes.Members(me, others),
             directory=self.directory,
             routing=lambda: self.routing,
--- a/carawaystair/admin/capacity.py
+++ b/carawaystair/admin/capacity.py
@@ -195,10 +195,10 @@
             each.service,
             each.left,
             each.known,
-            floor.bound(service, each.known),
+            floor.required_slots(service, each.known),
         )
         for service, each in named
         if service is not None
         and each.left < each.now
-        and each.left < floor.bound(service, each.known)
+        and each.left < floor.required_slots(service, each.known)
     ]
--- a/carawaystair/outlier/__init__.py
+++ b/carawaystair/outlier/__init__.py
@@ -29,7 +29,7 @@
     :return: keeps ``interfaces.Health`` and ``interfaces.Evidence``.
     """
     service = importlib.import_module('carawaystair.outlier.service')
-    return service.Outlier(
+    return service.OutlierDetection(
         members=members,
         directory=directory,
         routing=routing,
--- a/carawaystair/outlier/detectors.py
+++ b/carawaystair/outlier/detectors.py
@@ -62,7 +62,7 @@
     return (upper * (1.0 - math.log(upper)) - low) / (upper - lower)
 
 
-def likelihood(score: float) -> float:
+def log_likelihood_ratio(score: float) -> float:
     """Return the log likelihood ratio of one attempt, gray over healthy.
 
     :param score: of the attempt, see the module.
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -143,7 +143,9 @@
         if urgent or tried:
             self._hurry(outbox)
 
-    def hint(self, service: str, upstream: str, ill: bool) -> None:
+    def record_health_hint(
+        self, service: str, upstream: str, ill: bool
+    ) -> None:
         """Take note of what a health or load endpoint says.
 
         It raises suspicion a little or speeds a return; it never clears an
--- a/carawaystair/outlier/floor.py
+++ b/carawaystair/outlier/floor.py
@@ -21,15 +21,15 @@
 
     known: int
     healthy: int
-    bound: int
+    required_slots: int
 
     @property
     def spare(self) -> int:
         """Return the slots that may yet be ejected; negative below."""
-        return self.healthy - self.bound
+        return self.healthy - self.required_slots
 
 
-def bound(service: manifest.Service, known: int) -> int:
+def required_slots(service: manifest.Service, known: int) -> int:
     """Return the slots that ejections must leave.
 
     :param known: slots of all known upstreams of the service.
@@ -52,7 +52,7 @@
         for upstream in upstreams
         if upstream.id not in ejected and able(upstream)
     )
-    return Capacity(known, healthy, bound(service, known))
+    return Capacity(known, healthy, required_slots(service, known))
 
 
 def clamp(
--- a/carawaystair/outlier/service.py
+++ b/carawaystair/outlier/service.py
@@ -26,7 +26,7 @@
 Sleep = typing.Callable[[float], typing.Awaitable]
 
 
-class Outlier(mode.Service):
+class OutlierDetection(mode.Service):
     """Keeps ``interfaces.Health`` and ``interfaces.Evidence``.
 
     :param members: the processes of the fleet.
@@ -93,7 +93,7 @@
         self.trial = self.health.trial
         self.begin = self.evidence.begin
         self.record = self.evidence.record
-        self.hint = self.evidence.hint
+        self.record_health_hint = self.evidence.record_health_hint
 
     def send(self, addresses: typing.Iterable[str], parts) -> None:
         """Send datagrams; those to this process take no detour."""
--- a/carawaystair/report.py
+++ b/carawaystair/report.py
@@ -106,7 +106,7 @@
         tuple(sorted(ejected)),
         capacity.known,
         capacity.healthy,
-        capacity.bound,
+        capacity.required_slots,
     )
 
 
--- a/carawaystairplug/detector_sequential.py
+++ b/carawaystairplug/detector_sequential.py
@@ -35,7 +35,7 @@
         self, upstream: str, score: float, count: float, now: float
     ) -> None:
         """Move the sum."""
-        step = count * detectors.likelihood(score)
+        step = count * detectors.log_likelihood_ratio(score)
         value = min(self.evidence(upstream, now) + step, MOST)
         if value <= 0.0:
             self.sums.pop(upstream, None)
--- a/carawaystairplug/detector_siblings.py
+++ b/carawaystairplug/detector_siblings.py
@@ -66,7 +66,7 @@
             self.counts[index] = self.counts[index] * fade + count
             self.sums[index] = self.sums[index] * fade + count * score
 
-        step = count * detectors.likelihood(score)
+        step = count * detectors.log_likelihood_ratio(score)
         run = self.run * math.exp(gone / FADE_S) + step
         self.run = min(max(run, 0.0), MOST)
 
--- a/test/test_outlier_node.py
+++ b/test/test_outlier_node.py
@@ -40,7 +40,7 @@
     me = fakes.member(1)
     transport = fakes.Network().transport(me.gossip)
     routing = Routing(**changes)
-    return service.Outlier(
+    return service.OutlierDetection(
         members=fakes.Members(me, ()),
         directory=directory,
         routing=lambda: routing,
