--- a/bench/exp_request.py
+++ b/bench/exp_request.py
@@ -24,7 +24,7 @@
 from carawaystair import rows
 from carawaystair import settings
 from carawaystair import timeline
-from test import inert
+from test import stubs
 
 TITLE = 'Processor time of the request path, against a naive relay.'
 CONCURRENCY = 4
@@ -152,12 +152,12 @@
     return request.make(
         kernel,
         directory,
-        inert.Health(),
+        stubs.Health(),
         Evidence(),
         Admission(),
-        inert.Reservations(),
+        stubs.Reservations(),
         lambda: routing,
-        inert.Quarantine(),
+        stubs.Quarantine(),
     )
 
 
@@ -174,7 +174,7 @@
         """Never call back."""
 
 
-class Evidence(inert.Evidence):
+class Evidence(stubs.Evidence):
     """Evidence that is forgotten."""
 
     def record(self, attempt: interfaces.Attempt) -> None:
@@ -191,7 +191,7 @@
 PERMIT = Permit()
 
 
-class Admission(inert.Admission):
+class Admission(stubs.Admission):
     """Admission that counts nothing."""
 
     def try_admit(
--- a/bench/gateway_model.py
+++ b/bench/gateway_model.py
@@ -13,7 +13,7 @@
 import typing
 
 from carawaystair import experiments
-from carawaystair.gateway import relay
+from carawaystair.gateway import dispatcher
 from carawaystair.load import estimating
 from carawaystair.load import gate
 from carawaystair.load import placing
@@ -26,7 +26,7 @@
 ROUND_TRIP_S = 0.003
 # A run that has not failed after so long has survived, seconds.
 SURVIVED_S = 0.05
-MOST_RUNS = relay.MOST_RUNS
+MOST_RUNS = dispatcher.DEFAULT_MAX_RUNS
 SPENT = 'spent'  # no more repeats may reach the service
 
 
@@ -286,9 +286,9 @@
 
     def _ask(self, now: float, trip: Trip) -> None:
         choice = None
-        if len(trip.refused) < relay.MOST_ASKED:
+        if len(trip.refused) < dispatcher.MAX_GATEWAYS_ASKED:
             choice = self._choose(now, trip)
-        if choice is None or trip.asked >= relay.MOST_OFFERS:
+        if choice is None or trip.asked >= dispatcher.MAX_OFFERS:
             self._stay(now, trip)
             return
         upstream = self.upstreams[choice.candidate.id]
@@ -355,11 +355,11 @@
         """Let a request wait where it is worth most."""
         need = trip.need(now)
         found = [
-            (relay.worth_of(report, need), name)
+            (dispatcher.value_where_declined(report, need), name)
             for name, report in trip.refused.items()
             if name not in trip.stayed
         ]
-        if not found or len(trip.stayed) >= relay.MOST_STAYS:
+        if not found or len(trip.stayed) >= dispatcher.MAX_WAITS:
             self._tell(now, trip, False, now - trip.request.at)
             return
         upstream = self.upstreams[max(found)[1]]
--- a/carawaystair/experiments.py
+++ b/carawaystair/experiments.py
@@ -9,11 +9,11 @@
 import math
 import typing
 
-from carawaystair.gateway import ages
-from carawaystair.gateway import handover
-from carawaystair.gateway import relay
+from carawaystair.gateway import dispatcher
+from carawaystair.gateway import dispatches
+from carawaystair.gateway import gateway_client
 from carawaystair.gateway import slots
-from carawaystair.gateway import trips
+from carawaystair.gateway import transit
 from carawaystair.load import estimating
 from carawaystair.load import gate
 from carawaystair.load import placing
@@ -64,7 +64,7 @@
     return hop
 
 
-def _last_by_kind(trip: trips.Trip) -> bool:
+def _last_by_kind(trip: dispatches.Dispatch) -> bool:
     return not trip.call.idempotent or trip.sent > 0
 
 
@@ -109,17 +109,19 @@
     # Reckoning with upstreams that warm up.
     'cold': (Part(waiting, 'COLD_FACTOR', 1.0),),
     # What waits leaves an upstream that turns gray.
-    'turn-away': (Part(slots.Slots, 'turn_away', _nothing),),
+    'turn-away': (Part(slots.Slots, 'evict_waiting', _nothing),),
     # The last run that a route allows is spared a failure.
-    'last-run': (Part(trips.Trip, 'last', property(_last_by_kind)),),
+    'last-run': (
+        Part(dispatches.Dispatch, 'final_attempt', property(_last_by_kind)),
+    ),
     # Requests sent ahead run side by side.
     'side-by-side': (Part(incoming.Connection, '_run_ahead', _nothing),),
     # Bodies go out when a gateway has a slot for them.
-    'ask-body': (Part(handover, 'ASK_BYTES', math.inf),),
+    'ask-body': (Part(gateway_client, 'EXPECT_CONTINUE_BYTES', math.inf),),
     # What is sent between nodes ages on its way.
-    'age': (Part(ages, 'aged', _as_it_came),),
+    'age': (Part(transit, 'deduct_transit_time', _as_it_came),),
     # A second run of what is late.
-    'hedge': (Part(relay, 'HEDGE_S', 1e9),),
+    'hedge': (Part(dispatcher, 'MIN_HEDGE_DELAY_S', 1e9),),
     # Return of the rejected by what the backlog needs.
     'return': (Part(returning, 'MOST_S', returning.LEAST_S),),
 }
--- a/carawaystair/gateway/front.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -8,13 +8,13 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import figures as figures_module
-from carawaystair.gateway import inner as inners
-from carawaystair.gateway import relay as relays
-from carawaystair.gateway import settling as settlings
+from carawaystair.gateway import dispatcher as relays
+from carawaystair.gateway import dispatches
+from carawaystair.gateway import nested_calls as inners
+from carawaystair.gateway import request_metrics as figures_module
 from carawaystair.gateway import splitting
+from carawaystair.gateway import startup as settlings
 from carawaystair.gateway import streaming
-from carawaystair.gateway import trips
 from carawaystair import interfaces
 from carawaystair import manifest
 from carawaystair.request import answer as answers
@@ -41,7 +41,7 @@
 UNKNOWN_STATUS = 502
 
 
-class Front(handling.Handling):
+class CallerHandler(handling.Handling):
     """Answers callers; one for each node.
 
     :param settings: of the process.
@@ -64,12 +64,12 @@
         prefix: str,
         routing: typing.Callable[[], routings.Routing],
         behind_s: typing.Callable[[], float],
-        relay: relays.Relay,
-        settling: settlings.Settling,
+        relay: relays.Dispatcher,
+        settling: settlings.StartupWait,
         splits: splitting.Splitter,
-        inner: inners.InnerCalls,
+        inner: inners.NestedCalls,
         meters: meters_module.Meters,
-        figures: figures_module.Figures,
+        figures: figures_module.RequestMetrics,
         recorder: decisions.Recorder,
     ) -> None:
         super().__init__(prefix, 0.0, routing, behind_s, meters)
@@ -78,7 +78,7 @@
         self.relay = relay
         self.settling = settling
         self.splits = splits
-        self.inner = inner
+        self.nested_calls = inner
         self.figures = figures
         self.recorder = recorder
         # The configuration that was last read with, and since when.
@@ -222,7 +222,7 @@
         exchange: exchanges.Exchange,
         routing: routings.Routing,
         now: float,
-    ) -> trips.Trip:
+    ) -> dispatches.Dispatch:
         """Read a request; raises :class:`caller.Refused`."""
         place = caller.target(request)
         match = routing.match(place.host, place.path.partition('?')[0])
@@ -243,19 +243,19 @@
         credentials = request.headers.get('Authorization', '')
         call = digests.named(call, place.host, credentials)
         goal_s = route.goal_ms / MS if route.goal_ms else call.deadline - now
-        parent = self.inner.parent(call.id)
-        need = trips.Need(
+        parent = self.nested_calls.parent(call.id)
+        need = dispatches.Params(
             name,
             now + goal_s,
-            self.inner.rank(call.id, route.priority),
+            self.nested_calls.rank(call.id, route.priority),
             bool(parent),
-            parent in self.inner.repeated,
-            bool(parent) and self.inner.called(parent, name),
+            parent in self.nested_calls.repeated,
+            bool(parent) and self.nested_calls.called(parent, name),
             self.service,
-            route.max_attempts or relays.MOST_RUNS,
+            route.max_attempts or relays.DEFAULT_MAX_RUNS,
             str(routing.version),
         )
-        return trips.Trip(call, need)
+        return dispatches.Dispatch(call, need)
 
     def _call(
         self,
@@ -299,7 +299,10 @@
     # Answering
 
     async def _pass_on(
-        self, trip: trips.Trip, exchange: exchanges.Exchange, began: float
+        self,
+        trip: dispatches.Dispatch,
+        exchange: exchanges.Exchange,
+        began: float,
     ) -> None:
         answer = await self.relay.send(trip)
         why = ''
@@ -314,13 +317,13 @@
         else:
             self.meters.complete(clock.now() - began)
         if trip.need.inner and answer.status >= 500:
-            self.inner.failed(trip.call.id)
+            self.nested_calls.failed(trip.call.id)
         code = codes.ANSWER_LOST if why else codes.OK
         self._tell(trip, codes.COMPLETE, began, code, why, answer.status)
 
     def _tell(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         outcome: str,
         began: float,
         code: codes.Code,
@@ -333,9 +336,9 @@
         self.figures.answered(key, service, outcome, code.label, total_s)
         good = code is codes.OK and status < 500
         if not status and trip.need.inner:
-            self.inner.failed(trip.call.id)
+            self.nested_calls.failed(trip.call.id)
         if not status and trip.need.echo and trip.one_too_many:
-            self.inner.payer.refused(service, clock.now())
+            self.nested_calls.payer.refused(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
                 trip.call.id,
@@ -372,7 +375,10 @@
         )
 
     def _tell_left(
-        self, trip: trips.Trip, request: incoming.Request, began: float
+        self,
+        trip: dispatches.Dispatch,
+        request: incoming.Request,
+        began: float,
     ) -> None:
         total_ms = int((clock.now() - began) * MS)
         closed_by = 'caller' if request.connection.left else 'node'
--- a/carawaystair/gateway/detours.py
+++ b/carawaystair/gateway/detours.py
@@ -4,7 +4,7 @@
 from carawaystair import codes
 from carawaystair.gateway import hops
 from carawaystair.gateway import pacer as pacers
-from carawaystair.gateway import sends
+from carawaystair.gateway import send_attempts
 from carawaystair.gateway import streaming
 from carawaystair import interfaces
 from carawaystair.load import placing
@@ -50,14 +50,14 @@
         hop.upstream, hop.service, hop.detour, '', '', 0
     )
     target = targets.Target(upstream, now)
-    attempt = sends.ToGateway(call, target, onward, True)
+    attempt = send_attempts.GatewayAttempt(call, target, onward, True)
     try:
         await attempt.connect()
         attempt.send()
         while not await attempt.sign(deadline):
             hops.write(request, hops.INTERIM)
         answer = await attempt.answer(deadline)
-    except (answers.Failed, TimeoutError, *sends.BROKEN) as error:
+    except (answers.Failed, TimeoutError, *send_attempts.BROKEN) as error:
         attempt.take_back()
         hops.write(request, _no_answer(attempt, error))
         return request.keep_alive
@@ -71,7 +71,9 @@
         way.end()
 
 
-def _let_go(attempt: sends.ToGateway, request: incoming.Request) -> None:
+def _let_go(
+    attempt: send_attempts.GatewayAttempt, request: incoming.Request
+) -> None:
     """End the way on as the way here has ended.
 
     A closed connection tells the gateway that nobody waits any more.  Closed
@@ -84,7 +86,9 @@
         attempt.leave()
 
 
-def _no_answer(attempt: sends.ToGateway, error: Exception) -> bytes:
+def _no_answer(
+    attempt: send_attempts.GatewayAttempt, error: Exception
+) -> bytes:
     if attempt.sent:
         return hops.failure(codes.ANSWER_LOST.label, repr(error), NOTHING)
     return hops.refusal(hops.UNREACHABLE, repr(error), NOTHING)
@@ -93,9 +97,9 @@
 async def _answer(
     hop: hops.Hop,
     request: incoming.Request,
-    attempt: sends.ToGateway,
+    attempt: send_attempts.GatewayAttempt,
     answer: answers.Answer,
-    way: pacers.Way,
+    way: pacers.Throttle,
 ) -> bool:
     told = hops.says(answer, hops.REFUSAL) or hops.says(answer, hops.FAILURE)
     if told:
--- a/carawaystair/gateway/relay.py
+++ b/carawaystair/gateway/dispatcher.py
@@ -14,12 +14,12 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import handover as handovers
+from carawaystair.gateway import dispatches
+from carawaystair.gateway import gateway_client as handovers
 from carawaystair.gateway import hedging
 from carawaystair.gateway import hops
-from carawaystair.gateway import known as knowns
-from carawaystair.gateway import settling as settlings
-from carawaystair.gateway import trips
+from carawaystair.gateway import startup as settlings
+from carawaystair.gateway import upstream_pool as knowns
 from carawaystair import interfaces
 from carawaystair.load import gate
 from carawaystair.load import placing
@@ -32,29 +32,29 @@
 from carawaystair.request import target as targets
 
 # Gateways that are asked before a request stays at one of them.
-MOST_ASKED = 6
+MAX_GATEWAYS_ASKED = 6
 # And those beside them that can't serve it at all, such as those that leave.
-MOST_OFFERS = 12
+MAX_OFFERS = 12
 # Gateways at which a request may be left to wait, one after the other.
-MOST_STAYS = 3
+MAX_WAITS = 3
 # Sends that may reach an upstream, whether it runs them or sheds them.  When
 # a service sheds half of its work, each further send of one request takes the
 # place of the second of another one.
-MOST_SENT = 3
+MAX_UPSTREAMS_REACHED = 3
 # Upstreams that may run a request whose route does not say.
-MOST_RUNS = 2
+DEFAULT_MAX_RUNS = 2
 # A request that takes so many times as long as its route usually does, and
 # this time at least in seconds, is asked of another upstream as well; of so
 # many at most, until one has room.
-HEDGE_AFTER = 2.0
-HEDGE_S = 0.25
-MOST_HEDGES = 3
+HEDGE_DELAY_FACTOR = 2.0
+MIN_HEDGE_DELAY_S = 0.25
+MAX_HEDGE_OFFERS = 3
 MS = 1000
 # Refusals that another question may turn into a run.
 WAITABLE = frozenset((rejecting.BUSY, gate.RISKY))
 
 
-class Relay:
+class Dispatcher:
     """Sends requests to gateways; one for each node.
 
     :param known: the upstreams.
@@ -68,9 +68,9 @@
 
     def __init__(
         self,
-        known: knowns.Known,
-        handover: handovers.Handover,
-        settling: settlings.Settling,
+        pool: knowns.UpstreamPool,
+        client: handovers.GatewayClient,
+        settling: settlings.StartupWait,
         budgets: retrying.Budgets,
         quarantine: interfaces.Quarantine,
         rng: random.Random,
@@ -78,9 +78,9 @@
     ) -> None:
         self.budgets = budgets
         self.quarantine = quarantine
-        self.known = known
-        self.board = known.board
-        self.handover = handover
+        self.pool = pool
+        self.board = pool.board
+        self.client = client
         self.settling = settling
         self.rng = rng
         self.recorder = recorder
@@ -89,7 +89,7 @@
 
     # A request
 
-    async def send(self, trip: trips.Trip) -> answers.Answer:
+    async def send(self, trip: dispatches.Dispatch) -> answers.Answer:
         """Return the answer to a request.
 
         :raises caller.Refused: when it was not run and will not be.
@@ -99,7 +99,7 @@
             raise self._crashing(trip)
         if not trip.need.echo:
             self.budgets.of(trip.need.service).first(clock.now())
-        while self._may_send(trip) and trip.offers < MOST_OFFERS:
+        while self._may_send(trip) and trip.offers < MAX_OFFERS:
             choice = await self._next(trip)
             if choice is None:
                 break
@@ -108,14 +108,14 @@
                 return answer
         return await self._end(trip)
 
-    async def _next(self, trip: trips.Trip) -> knowns.Choice | None:
+    async def _next(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
         """Return where a request goes next, None when there is nothing left.
 
         That is an upstream that was not asked, or one that refused it and
         where it is worth more to wait.
         """
         choice = None
-        if len(trip.declined) < MOST_ASKED:
+        if len(trip.declined) < MAX_GATEWAYS_ASKED:
             choice = self._choose(trip)
         if choice is None and not trip.offers:
             await self.settling.wait(
@@ -127,9 +127,9 @@
         trip.tried.add(choice.target.upstream.id)
         return choice
 
-    def _choose(self, trip: trips.Trip) -> knowns.Choice | None:
+    def _choose(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
         now = clock.now()
-        return self.known.choose(
+        return self.pool.choose(
             trip.need.service,
             trip.tried,
             trip.declined.keys() - trip.stayed,
@@ -140,7 +140,7 @@
             not trip.offers,
         )
 
-    def _may_send(self, trip: trips.Trip) -> bool:
+    def _may_send(self, trip: dispatches.Dispatch) -> bool:
         """Tell whether one more upstream may get a request."""
         if trip.spent or clock.now() >= trip.call.deadline:
             return False
@@ -150,9 +150,11 @@
         if trip.runs and not self.quarantine.may_repeat(digest):
             return False
         runs = trip.need.most_runs
-        return trip.runs < runs and trip.sent < max(MOST_SENT, runs)
+        return trip.runs < runs and trip.sent < max(
+            MAX_UPSTREAMS_REACHED, runs
+        )
 
-    async def _end(self, trip: trips.Trip) -> answers.Answer:
+    async def _end(self, trip: dispatches.Dispatch) -> answers.Answer:
         """Return what an earlier run came to; raises what it is if none."""
         if trip.sent:
             self.recorder.tell(
@@ -168,7 +170,7 @@
             )
         if trip.fallback is not None:
             return trip.fallback
-        answer = await self.handover.find(trip)
+        answer = await self.client.find(trip)
         if answer is not None:
             return answer
         if trip.failed is not None:
@@ -177,17 +179,17 @@
             raise self._crashing(trip)
         raise self._rejection(trip)
 
-    def _best(self, trip: trips.Trip) -> knowns.Choice | None:
+    def _best(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
         """Return where a request is worth most, of those that refused it.
 
         Gateways that were not reached come last: they are asked through a
         third node.
         """
-        if len(trip.stayed) >= MOST_STAYS:
+        if len(trip.stayed) >= MAX_WAITS:
             return None
         need = trip.needs(clock.now())
         found = [
-            (worth_of(declined.report, need), target)
+            (value_where_declined(declined.report, need), target)
             for name, (target, declined) in trip.declined.items()
             if name not in trip.stayed and not self._too_late(trip, declined)
         ]
@@ -202,7 +204,9 @@
         trip.stayed.add(target.upstream.id)
         return knowns.Choice(target, len(trip.declined), None)
 
-    def _too_late(self, trip: trips.Trip, declined: trips.Declined) -> bool:
+    def _too_late(
+        self, trip: dispatches.Dispatch, declined: dispatches.Declined
+    ) -> bool:
         report = declined.report
         if report is None:
             return clock.now() >= trip.call.deadline
@@ -213,11 +217,11 @@
             trip.call.deadline,
         )
 
-    def _crashing(self, trip: trips.Trip) -> caller.Refused:
+    def _crashing(self, trip: dispatches.Dispatch) -> caller.Refused:
         """Return the refusal of a request that crashes upstreams."""
         return caller.crashes(self.quarantine.standing(trip.call.digest))
 
-    def _rejection(self, trip: trips.Trip) -> caller.Refused:
+    def _rejection(self, trip: dispatches.Dispatch) -> caller.Refused:
         """Return what the caller of a request that was not run is told."""
         reports = [
             declined.report
@@ -238,7 +242,7 @@
 
     async def _try(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
         count: int,
         least: float | None,
@@ -254,11 +258,13 @@
         """
         first = self._send(trip, target, count, least, again)
         durations, key = self.board.durations, trip.call.match.key
-        if trip.last or trip.call.body is None:
+        if trip.final_attempt or trip.call.body is None:
             return await first
         after_s = math.inf
         if durations.knows(key):
-            after_s = max(HEDGE_AFTER * durations.of(key), HEDGE_S)
+            after_s = max(
+                HEDGE_DELAY_FACTOR * durations.of(key), MIN_HEDGE_DELAY_S
+            )
         trip.hurry = asyncio.get_running_loop().create_future()
         return await hedging.hedged(
             first,
@@ -268,14 +274,14 @@
         )
 
     async def _hedge(
-        self, trip: trips.Trip, first: str
+        self, trip: dispatches.Dispatch, first: str
     ) -> answers.Answer | None:
         """Let another upstream run a request as well, if one has room.
 
         :param first: the upstream that has it.
         """
         trip.ran(first)
-        for _asked in range(MOST_HEDGES):
+        for _asked in range(MAX_HEDGE_OFFERS):
             choice = self._choose(trip) if self._may_send(trip) else None
             if choice is None:
                 return None
@@ -288,7 +294,7 @@
 
     async def _send(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
         count: int,
         least: float | None,
@@ -309,10 +315,10 @@
         paid = counts and budget.repeat(began, 1)
         counted = paid or (trip.need.paid and trip.sent == 0)
         try:
-            answer = await self.handover.exchange(
+            answer = await self.client.exchange(
                 trip, target, least, again, counted
             )
-        except trips.Declined as declined:
+        except dispatches.Declined as declined:
             reached = declined.reason in hops.ARRIVED
             if paid and not reached:
                 budget.give_back(began)
@@ -328,7 +334,7 @@
                 trip.not_run(name, False)
                 trip.missed.append(target)
                 return None
-            self.known.learn(trip.need.service, False)
+            self.pool.learn(trip.need.service, False)
             trip.ran(name)
             trip.failed = failed
             if not trip.call.idempotent or trip.call.body is None:
@@ -338,7 +344,7 @@
             view.mine -= 1
         bad = answer.status >= 500
         self.board.sizes.add(trip.call.match.key, answers.size(answer))
-        self.known.learn(trip.need.service, not bad)
+        self.pool.learn(trip.need.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
         )
@@ -350,9 +356,9 @@
 
     def _declined(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
-        declined: trips.Declined,
+        declined: dispatches.Declined,
     ) -> None:
         name = target.upstream.id
         trip.refusals.append('%s:%s' % (name, declined.reason))
@@ -365,7 +371,7 @@
 
     def _tell_broken(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         name: str,
         failed: answers.Failed,
         began: float,
@@ -384,7 +390,7 @@
 
     def _offer(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         upstream: interfaces.Upstream,
         count: int,
         least: float | None,
@@ -413,7 +419,9 @@
         )
 
 
-def worth_of(report: placing.Report | None, need: valuing.Need) -> float:
+def value_where_declined(
+    report: placing.Report | None, need: valuing.Need
+) -> float:
     """Return what a request is worth where it was refused just now, 0 to 1.
 
     :param report: what the gateway said of its upstream.
--- a/carawaystair/gateway/trips.py
+++ b/carawaystair/gateway/dispatches.py
@@ -32,7 +32,7 @@
         self.report = report
 
 
-class Need(typing.NamedTuple):
+class Params(typing.NamedTuple):
     """What a request needs, beside what its call says.
 
     :param service: the service that is to run it.
@@ -57,7 +57,7 @@
     version: str
 
 
-class Lost(typing.NamedTuple):
+class LostConnection(typing.NamedTuple):
     """Where a request is whose connection was lost.
 
     :param target: the upstream that may run it.
@@ -70,7 +70,7 @@
     paid: bool
 
 
-class Trip:
+class Dispatch:
     """One request on its way.
 
     :param call: the request.
@@ -98,7 +98,7 @@
         'tried',
     )
 
-    def __init__(self, call: calls.Call, need: Need) -> None:
+    def __init__(self, call: calls.Call, need: Params) -> None:
         self.call = call
         self.need = need
         # Callers choose the ids of requests, and may use one twice.
@@ -123,7 +123,7 @@
         self.reached: set[str] = set()
         self.failed: answers.Failed | None = None
         # Where it may still run, if its connection was lost there.
-        self.lost: Lost | None = None
+        self.lost: LostConnection | None = None
         # Done once its gateway has shown no sign of life for long; None
         # where no other upstream may have it.
         self.hurry: asyncio.Future | None = None
@@ -177,7 +177,7 @@
         return self.begun and self.call.body is None
 
     @property
-    def last(self) -> bool:
+    def final_attempt(self) -> bool:
         """Tell whether it can't be sent once more if it fails."""
         runs_out = self.runs + 1 >= self.need.most_runs
         return runs_out or not self.call.idempotent or self.sent > 0
@@ -185,7 +185,7 @@
     def needs(self, now: float) -> valuing.Need:
         """Return what it needs now."""
         return valuing.Need(
-            self.need.goal - now, self.call.deadline - now, self.last
+            self.need.goal - now, self.call.deadline - now, self.final_attempt
         )
 
     def hop(
@@ -234,7 +234,7 @@
             least=int((least or 0.0) * THOUSAND),
             second=int(again * THOUSAND),
             calm=calm,
-            last=self.last,
+            last=self.final_attempt,
             paid=paid,
             usual_ms=int(usual_s * MS),
             digest=call.digest,
--- a/carawaystair/gateway/work.py
+++ b/carawaystair/gateway/executor.py
@@ -6,12 +6,12 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import evidence as evidence_module
-from carawaystair.gateway import figures as figures_module
 from carawaystair.gateway import hops
-from carawaystair.gateway import inner as inners
-from carawaystair.gateway import lives as lives_module
-from carawaystair.gateway import sends
+from carawaystair.gateway import instances as lives_module
+from carawaystair.gateway import nested_calls as inners
+from carawaystair.gateway import request_metrics as figures_module
+from carawaystair.gateway import run_observer as evidence_module
+from carawaystair.gateway import send_attempts
 from carawaystair.gateway import slots as slots_module
 from carawaystair import interfaces
 from carawaystair.load import gate
@@ -53,7 +53,7 @@
     source: bodies.Source | None = None
 
 
-class Work:
+class Executor:
     """The upstreams of this host; one for each process.
 
     :param membership: the upstreams of this host, and who else there is.
@@ -68,8 +68,8 @@
         self,
         membership,
         settings: settings_module.Settings,
-        inner: inners.InnerCalls,
-        figures: figures_module.Figures,
+        nested_calls: inners.NestedCalls,
+        figures: figures_module.RequestMetrics,
         quarantine: interfaces.Quarantine,
         recorder: decisions.Recorder,
     ) -> None:
@@ -77,7 +77,7 @@
         self.registry = membership.registry
         self.names = names = settings.headers
         self.node = settings.node
-        self.inner = inner
+        self.nested_calls = nested_calls
         self.figures = figures
         self.quarantine = quarantine
         self.crashes = crashes_module.Crashes(quarantine)
@@ -92,9 +92,9 @@
         )
         # The most gateways that each service was seen to have.
         self.sharers: dict[str, int] = {}
-        self.lives: dict[str, lives_module.Life] = {}
-        self.running = lives_module.Running()
-        self.leaving = False
+        self.instances: dict[str, lives_module.Instance] = {}
+        self.running = lives_module.RunningAttempts()
+        self.stopping = False
         self.not_run = names.not_run.lower().encode()
         self.receipt = names.receipt.lower().encode()
         self.registry.callbacks.append(self.changed)
@@ -112,13 +112,13 @@
     @property
     def slots(self) -> dict[str, slots_module.Slots]:
         """Return the slots of the upstreams of this host."""
-        return {name: life.slots for name, life in self.lives.items()}
+        return {name: life.slots for name, life in self.instances.items()}
 
     def changed(self, name: str) -> None:
         """Take note of an announcement that changed."""
         lease = self.registry.leases.get(name)
         said = None if lease is None else lease.announcement
-        life = self.lives.get(name)
+        life = self.instances.get(name)
         if life is not None and not _same(life, said):
             self._end(life, said)
             life = None
@@ -131,9 +131,9 @@
 
     def _begin(
         self, name: str, said: registries.Announcement
-    ) -> lives_module.Life:
-        life = lives_module.Life(name, said, self.process)
-        self.lives[name] = life
+    ) -> lives_module.Instance:
+        life = lives_module.Instance(name, said, self.process)
+        self.instances[name] = life
         cut = self.running.cut(name, said.incarnation)
         self.recorder.tell(
             decisions.LifeBegan(
@@ -150,13 +150,13 @@
         return life
 
     def _end(
-        self, life: lives_module.Life, said: registries.Announcement | None
+        self, life: lives_module.Instance, said: registries.Announcement | None
     ) -> None:
         """Let go of a life that is over.
 
         :param said: of the life that follows, None when there is none.
         """
-        name, line = life.name, life.slots.line
+        name, line = life.name, life.slots.queue
         why = 'started anew'
         if said is None:
             why = 'left' if name in self.registry.left else 'silent'
@@ -170,19 +170,19 @@
             len(life.target.idle),
         )
         self.recorder.tell(event, decisions.BELIEF)
-        del self.lives[name]
+        del self.instances[name]
         self.crashes.ended(life.target, why == 'left')
         life.end()
 
     def close(self) -> None:
         """Take no new work: the process stops."""
-        self.leaving = True
-        for life in self.lives.values():
+        self.stopping = True
+        for life in self.instances.values():
             life.slots.refuse_all(hops.LEAVING)
 
     def sweep(self, now: float) -> None:
         """Close connections to upstreams that were idle too long."""
-        for life in self.lives.values():
+        for life in self.instances.values():
             connections.sweep(life.target, now)
 
     # One request
@@ -217,7 +217,7 @@
         except BaseException:
             self._give_back(hop, now)
             raise
-        line = slots.line
+        line = slots.queue
         self.recorder.tell(
             decisions.Began(
                 hop.id,
@@ -232,7 +232,7 @@
             )
         )
         self._count(hop)
-        attempt = sends.ToUpstream(
+        attempt = send_attempts.UpstreamAttempt(
             call, life.target, self.names, hop.caller_service, source
         )
         self.running.begin(attempt)
@@ -259,14 +259,14 @@
                 release()
 
     async def _wait(
-        self, hop: hops.Hop, life: lives_module.Life, want: waiting.Want
+        self, hop: hops.Hop, life: lives_module.Instance, want: waiting.Want
     ) -> float:
         """Wait for a slot; return the seconds that it took.
 
         :raises slots.Refused: when there is none in time.
         """
         waited_s = await life.slots.take(want, hop.stays)
-        if self.lives.get(hop.upstream) is not life:
+        if self.instances.get(hop.upstream) is not life:
             # The life that it was given a slot of has ended meanwhile.
             life.slots.free(hop.key)
             raise slots_module.Refused(hops.LEAVING)
@@ -361,7 +361,7 @@
 
         :raises slots.Refused: when they can't be paid; its slot is freed.
         """
-        payer = self.inner.payer
+        payer = self.nested_calls.payer
         if hop.repeat and not payer.pay(hop.id, hop.service, clock.now()):
             slots.free(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
@@ -382,12 +382,12 @@
         self.sharers[service] = most
         return most
 
-    def _life(self, hop: hops.Hop) -> lives_module.Life:
+    def _life(self, hop: hops.Hop) -> lives_module.Instance:
         """Return the life of an upstream that takes new work."""
-        life = self.lives.get(hop.upstream)
+        life = self.instances.get(hop.upstream)
         if life is None:
             raise slots_module.Refused(hops.ABSENT)
-        if self.leaving or life.said.state != interfaces.UP:
+        if self.stopping or life.said.state != interfaces.UP:
             raise slots_module.Refused(hops.LEAVING)
         return life
 
@@ -396,8 +396,8 @@
     async def _send(
         self,
         hop: hops.Hop,
-        life: lives_module.Life,
-        attempt: sends.ToUpstream,
+        life: lives_module.Instance,
+        attempt: send_attempts.UpstreamAttempt,
         waited_s: float,
     ) -> answers.Answer:
         """Send a request to its upstream and learn from what comes.
@@ -407,14 +407,16 @@
         """
         began = clock.now()
         slots = life.slots
-        evidence = evidence_module.Evidence(hop.upstream, slots, hop.route)
-        self.inner.began(
+        evidence = evidence_module.RunObserver(hop.upstream, slots, hop.route)
+        self.nested_calls.began(
             hop.id, hop.service, hop.priority, hop.repeat or hop.echo
         )
         status, detail = 0, ''
         outcome = interfaces.CANCELLED
         try:
-            answer = await sends.answer_of(attempt, attempt.call.deadline)
+            answer = await send_attempts.answer_of(
+                attempt, attempt.call.deadline
+            )
             status = answer.status
             outcome = self._outcome(answer)
             if outcome == interfaces.GOOD and answer.rest is None:
@@ -431,7 +433,7 @@
             raise
         finally:
             evidence.stop()
-            self.inner.ended(hop.id)
+            self.nested_calls.ended(hop.id)
             took_s = clock.now() - began
             self._learn(hop, evidence, outcome, status)
             self.figures.ran(hop.service, outcome, waited_s, took_s)
@@ -453,8 +455,8 @@
     def _passed(
         self,
         hop: hops.Hop,
-        life: lives_module.Life,
-        attempt: sends.ToUpstream,
+        life: lives_module.Instance,
+        attempt: send_attempts.UpstreamAttempt,
     ) -> None:
         """Take note of a long answer that is passed on no more."""
         if attempt.payload.exception() is not None:
@@ -462,7 +464,7 @@
         elif attempt.payload.is_eof():
             self._ended_well(hop, life)
 
-    def _ended_well(self, hop: hops.Hop, life: lives_module.Life) -> None:
+    def _ended_well(self, hop: hops.Hop, life: lives_module.Instance) -> None:
         """Take note of a good answer that came whole."""
         life.target.proven = True
         self.quarantine.ended_well(hop.digest)
@@ -507,7 +509,7 @@
     def _learn(
         self,
         hop: hops.Hop,
-        evidence: evidence_module.Evidence,
+        evidence: evidence_module.RunObserver,
         outcome: str,
         status: int,
     ) -> None:
@@ -518,7 +520,9 @@
             evidence.shed()
         elif outcome == interfaces.CANCELLED or status == OUT_OF_TIME:
             return
-        elif outcome == interfaces.ERROR and self.inner.to_blame(hop.id):
+        elif outcome == interfaces.ERROR and self.nested_calls.to_blame(
+            hop.id
+        ):
             # It failed for what it had called, as a rule.
             return
         else:
@@ -526,7 +530,7 @@
 
     def report(self, upstream: str, route: str = '') -> placing.Report:
         """Return what other nodes should know of an upstream."""
-        life = self.lives.get(upstream)
+        life = self.instances.get(upstream)
         if life is None:
             return slots_module.Slots(self.process, 0).report(route)
         report = life.slots.report(route)
@@ -539,7 +543,7 @@
 
 
 def _same(
-    life: lives_module.Life, said: registries.Announcement | None
+    life: lives_module.Instance, said: registries.Announcement | None
 ) -> bool:
     """Tell whether an announcement is of a life that is known."""
     return said is not None and said.incarnation == life.said.incarnation
--- a/carawaystair/gateway/handover.py
+++ b/carawaystair/gateway/gateway_client.py
@@ -12,14 +12,14 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import ages
+from carawaystair.gateway import dispatches
 from carawaystair.gateway import hops
-from carawaystair.gateway import known as knowns
 from carawaystair.gateway import paths as paths_module
 from carawaystair.gateway import resuming
 from carawaystair.gateway import runs
-from carawaystair.gateway import sends
-from carawaystair.gateway import trips
+from carawaystair.gateway import send_attempts
+from carawaystair.gateway import transit
+from carawaystair.gateway import upstream_pool as knowns
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import target as targets
@@ -30,7 +30,7 @@
 # A body of more bytes goes out only when the gateway has a slot for it.  Sent
 # with its head it would cross the network once for each gateway that refuses,
 # and hold up what stands behind it.
-ASK_BYTES = 8 * 1024
+EXPECT_CONTINUE_BYTES = 8 * 1024
 # A gateway that has said nothing of itself may be of a version that waits for
 # the body; after so many signs of life it gets it unasked.
 UNASKED_SIGNS = 3
@@ -40,7 +40,7 @@
 MS = 1000
 
 
-class Handover:
+class GatewayClient:
     """Hands requests over; one for each node.
 
     :param host: the host of this node.
@@ -53,8 +53,8 @@
     def __init__(
         self,
         host: str,
-        paths: paths_module.Paths,
-        known: knowns.Known,
+        paths: paths_module.PathMonitor,
+        known: knowns.UpstreamPool,
         process: typing.Callable[[str], str],
         recorder: decisions.Recorder,
     ) -> None:
@@ -64,12 +64,12 @@
         self.board = known.board
         self.process = process
         self.recorder = recorder
-        self.clocks = ages.Clocks()
+        self.clocks = transit.ClockOffsets()
         self.resumed = 0
 
     async def exchange(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
         least: float | None,
         again: float,
@@ -92,11 +92,11 @@
         )
         view = self.board.view(target.upstream.id)
         attempt = self._attempt(trip, target, first, not view.reachable)
-        lost = trips.Lost(target, process, paid)
+        lost = dispatches.LostConnection(target, process, paid)
         limit_s = RESUME_REPEATABLE_S if trip.call.idempotent else math.inf
         try:
             return await self.answer(trip, target, attempt, self)
-        except resuming.Doubted as doubted:
+        except resuming.Unresponsive as doubted:
             return await self._resume(trip, lost, limit_s, doubted.attempt)
         except answers.Failed as failed:
             may_have_it = failed.sent and failed.outcome in resuming.LOST
@@ -106,10 +106,10 @@
 
     async def _resume(
         self,
-        trip: trips.Trip,
-        lost: trips.Lost,
+        trip: dispatches.Dispatch,
+        lost: dispatches.LostConnection,
         limit_s: float,
-        attempt: sends.ToGateway | None = None,
+        attempt: send_attempts.GatewayAttempt | None = None,
         failed: answers.Failed | None = None,
     ) -> answers.Answer:
         """Ask for a request again, see :class:`resuming.Resumption`."""
@@ -123,7 +123,7 @@
                 trip.lost = lost
             raise
 
-    async def find(self, trip: trips.Trip) -> answers.Answer | None:
+    async def find(self, trip: dispatches.Dispatch) -> answers.Answer | None:
         """Return the answer of a run whose connection was lost, if any.
 
         Nothing can take the place of that run.  Its gateway goes on with it
@@ -134,13 +134,16 @@
             return None
         try:
             return await self._resume(trip, lost, runs.ORPHAN_S)
-        except (trips.Declined, answers.Failed):
+        except (dispatches.Declined, answers.Failed):
             # What is known of it already is told.
             return None
 
     def again(
-        self, trip: trips.Trip, lost: trips.Lost, detour: bool
-    ) -> sends.ToGateway:
+        self,
+        trip: dispatches.Dispatch,
+        lost: dispatches.LostConnection,
+        detour: bool,
+    ) -> send_attempts.GatewayAttempt:
         """Return a further question for a request, not sent yet."""
         self.resumed += 1
         hop = trip.hop(
@@ -158,32 +161,32 @@
 
     def _attempt(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
         hop: hops.Hop,
         detour: bool,
-    ) -> sends.ToGateway:
+    ) -> send_attempts.GatewayAttempt:
         """Return a question that goes directly or through a third node."""
-        asks = trip.size > ASK_BYTES
+        asks = trip.size > EXPECT_CONTINUE_BYTES
         # It stays open for as long as its answer is owed.
         hop = hop._replace(patience_ms=hop.left_ms, asks=asks)
         its_clock = self.clocks.of(target.upstream.host, hop.process)
         helper = self.paths.helper(target) if detour else None
         if helper is None or trip.call.body is None:
-            return sends.ToGateway(
+            return send_attempts.GatewayAttempt(
                 trip.call, target, hop, hop.again, gateway_clock=its_clock
             )
         hop = hop._replace(detour=target.upstream.address, asks=False)
-        return sends.ToGateway(
+        return send_attempts.GatewayAttempt(
             trip.call, helper, hop, helper=True, gateway_clock=its_clock
         )
 
     async def answer(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
-        attempt: sends.ToGateway,
-        signs: resuming.Signs,
+        attempt: send_attempts.GatewayAttempt,
+        signs: resuming.ProgressObserver,
     ) -> answers.Answer:
         """Send a question unless it was sent, and return its answer.
 
@@ -199,9 +202,9 @@
 
     async def _answer(
         self,
-        trip: trips.Trip,
-        attempt: sends.ToGateway,
-        signs: resuming.Signs,
+        trip: dispatches.Dispatch,
+        attempt: send_attempts.GatewayAttempt,
+        signs: resuming.ProgressObserver,
     ) -> answers.Answer:
         deadline = trip.call.deadline
         try:
@@ -210,7 +213,7 @@
                 attempt.send()
             await self._head(attempt, deadline, signs)
             answer = await attempt.answer(deadline)
-        except resuming.Doubted:
+        except resuming.Unresponsive:
             raise
         except TimeoutError:
             attempt.take_back()
@@ -225,7 +228,7 @@
             if failed.outcome == interfaces.REFUSED:
                 self.paths.lost(attempt.target)
             raise
-        except sends.BROKEN as error:
+        except send_attempts.BROKEN as error:
             attempt.take_back()
             raise answers.Failed(
                 interfaces.BROKEN,
@@ -242,7 +245,10 @@
         return answer
 
     async def _head(
-        self, attempt: sends.ToGateway, deadline: float, signs: resuming.Signs
+        self,
+        attempt: send_attempts.GatewayAttempt,
+        deadline: float,
+        signs: resuming.ProgressObserver,
     ) -> None:
         """Wait until the head of the answer is here.
 
@@ -272,7 +278,9 @@
                 attempt.proceed()
 
     def _see_answer(
-        self, attempt: sends.ToGateway, signs: resuming.Signs
+        self,
+        attempt: send_attempts.GatewayAttempt,
+        signs: resuming.ProgressObserver,
     ) -> None:
         """Take the head of an upstream's answer for a sign of life."""
         told = attempt.message.headers
@@ -280,15 +288,15 @@
         if not any(name in told for name in own):
             signs.seen(attempt)
 
-    def _doubt(self, attempt: sends.ToGateway) -> None:
+    def _doubt(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note of a way on which nothing comes for long."""
         if attempt.hop.again and not attempt.helper:
             self.paths.lost(attempt.target)
 
-    def doubted(self, attempt: sends.ToGateway) -> None:
+    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Leave a first question, if it can be asked again."""
         if attempt.call.body is not None and attempt.hop.process:
-            raise resuming.Doubted(attempt)
+            raise resuming.Unresponsive(attempt)
         if attempt.target.upstream.state == interfaces.GONE:
             # Nothing will come from there, and it can't be asked again.
             raise TimeoutError
@@ -297,14 +305,14 @@
         """Take note that a gateway was reached by a third node only."""
         self.paths.lost(target)
 
-    def seen(self, attempt: sends.ToGateway) -> None:
+    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note of a sign of life; a first question needs none."""
 
     def _understood(
         self,
         target: targets.Target,
         answer: answers.Answer,
-        attempt: sends.ToGateway,
+        attempt: send_attempts.GatewayAttempt,
     ) -> answers.Answer:
         """Return an upstream's answer; raises what a gateway says."""
         value = hops.says(answer, hops.REPORT)
@@ -317,10 +325,10 @@
                 its_clock = self.clocks.of(
                     target.upstream.host, report.process
                 )
-                its_clock.heard(attempt.asked_ms, report.read_ms)
+                its_clock.observe(attempt.asked_ms, report.read_ms)
         refusal = hops.says(answer, hops.REFUSAL)
         if refusal:
-            raise trips.Declined(refusal, report)
+            raise dispatches.Declined(refusal, report)
         failure = hops.says(answer, hops.FAILURE)
         if failure:
             code = codes.TABLE[int(failure.rpartition('-')[2])]
@@ -338,6 +346,8 @@
         return answer
 
 
-def _may_ask_again(trip: trips.Trip, lost: trips.Lost) -> bool:
+def _may_ask_again(
+    trip: dispatches.Dispatch, lost: dispatches.LostConnection
+) -> bool:
     """Tell whether a gateway can be asked for a request again."""
     return trip.call.body is not None and bool(lost.process)
--- a/carawaystair/gateway/door.py
+++ b/carawaystair/gateway/hop_handler.py
@@ -13,15 +13,15 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import ages
 from carawaystair.gateway import detours
-from carawaystair.gateway import figures as figures_module
+from carawaystair.gateway import executor as works
 from carawaystair.gateway import hops
 from carawaystair.gateway import pacer as pacers
+from carawaystair.gateway import request_metrics as figures_module
 from carawaystair.gateway import runs as runs_module
 from carawaystair.gateway import slots as slots_module
 from carawaystair.gateway import streaming
-from carawaystair.gateway import work as works
+from carawaystair.gateway import transit
 from carawaystair.load import placing
 from carawaystair import logs
 from carawaystair.request import answer as answers
@@ -46,7 +46,7 @@
 LOG = logs.get('gateway')
 
 
-class Door:
+class HopHandler:
     """Takes requests from other nodes; one for each process.
 
     :param work: runs requests at the upstreams of this host.
@@ -57,8 +57,8 @@
 
     def __init__(
         self,
-        work: works.Work,
-        figures: figures_module.Figures,
+        work: works.Executor,
+        figures: figures_module.RequestMetrics,
         recorder: decisions.Recorder,
         pacer: pacers.Pacer,
     ) -> None:
@@ -80,7 +80,7 @@
             hops.write(request, hops.refusal(hops.MALFORMED, '', report))
             return False
         self.active += 1
-        signs = Signs(request)
+        signs = InterimAnswers(request)
         try:
             return await self._answer(hop, request, signs)
         except ConnectionError:
@@ -90,12 +90,12 @@
             self.active -= 1
 
     async def _answer(
-        self, hop: hops.Hop, request: incoming.Request, signs: 'Signs'
+        self, hop: hops.Hop, request: incoming.Request, signs: 'InterimAnswers'
     ) -> bool:
         if hop.detour:
             signs.stop()
             return await detours.pass_on(hop, request, self.pacer)
-        fresh = ages.aged(hop, clock.uptime_ms())
+        fresh = transit.deduct_transit_time(hop, clock.uptime_ms())
         if fresh is None:
             signs.stop()
             self._refuse(hop, request, slots_module.Refused(hops.GIVEN_UP))
@@ -157,7 +157,7 @@
         hop: hops.Hop,
         request: incoming.Request,
         answer: answers.Answer,
-        way: pacers.Way,
+        way: pacers.Throttle,
     ) -> bool:
         """Write an upstream's answer."""
         exchange = exchanges.Exchange(request, hop.id)
@@ -281,7 +281,7 @@
         hops.write(request, data)
 
 
-class Signs:
+class InterimAnswers:
     """Interim answers, while a request waits or runs.
 
     :param request: the request.
--- a/carawaystair/gateway/lives.py
+++ b/carawaystair/gateway/instances.py
@@ -25,7 +25,7 @@
 MS = 1000
 
 
-class Life:
+class Instance:
     """One life of one upstream.
 
     :param name: id of the upstream.
@@ -46,12 +46,12 @@
         self.slots = slots_module.Slots(process, said.slots)
         now = clock.now()
         self.target = targets.Target(upstream(name, said), now)
-        self.slots.line.cold_until = now + said.warmup_s
+        self.slots.queue.cold_until = now + said.warmup_s
 
     def hear(self, said: registries.Announcement) -> None:
         """Take note of what the upstream says of itself now."""
         self.said = said
-        self.slots.line.slots = said.slots
+        self.slots.queue.slots = said.slots
         self.target.upstream = upstream(self.name, said)
         if said.state != interfaces.UP:
             self.slots.refuse_all(hops.LEAVING)
@@ -70,7 +70,7 @@
         self.target.upstream = gone
 
 
-class Running:
+class RunningAttempts:
     """The attempts in progress, by upstream."""
 
     def __init__(self) -> None:
--- a/carawaystair/gateway/inner.py
+++ b/carawaystair/gateway/nested_calls.py
@@ -17,7 +17,7 @@
 MOST = 1024
 
 
-class InnerCalls:
+class NestedCalls:
     """What this host knows of the calls of its upstreams.
 
     :param payer: pays for the calls of repeated runs.
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -8,7 +8,7 @@
 from carawaystair.request import body as bodies
 
 
-class Way(typing.Protocol):
+class Throttle(typing.Protocol):
     """The way of one body to another node."""
 
     # What the link was asked for before this body; None where it did not
@@ -28,7 +28,7 @@
         """Let go of what was not used."""
 
 
-class Free:
+class Unthrottled:
     """A way that nothing binds."""
 
     ahead_s: float | None = None
@@ -44,10 +44,10 @@
         """Hold nothing."""
 
 
-FREE = Free()
+UNTHROTTLED = Unthrottled()
 
 
-class Paced:
+class LinkThrottle:
     """A way over the link.
 
     :param pacer: shares the link.
@@ -105,12 +105,12 @@
         self.futures: dict[int, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
 
-    def way(self, host: str) -> Way:
+    def way(self, host: str) -> Throttle:
         """Return the way of one body to a host."""
         if self.link is None or host == self.host:
             # What stays on this host does not cross its link.
-            return FREE
-        return Paced(self)
+            return UNTHROTTLED
+        return LinkThrottle(self)
 
     async def turn(self, place: pacing.Place, size: int) -> int:
         """Wait for a turn; return how many bytes may go.
@@ -159,7 +159,7 @@
     :param way: the way there.
     """
 
-    def __init__(self, source: bodies.Source, proto, way: Way) -> None:
+    def __init__(self, source: bodies.Source, proto, way: Throttle) -> None:
         super().__init__(source, proto)
         self.way = way
 
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -12,7 +12,7 @@
 import random
 import typing
 
-from carawaystair.gateway import known as knowns
+from carawaystair.gateway import upstream_pool as knowns
 from carawaystair import interfaces
 from carawaystair.request import connections
 from carawaystair.request import target as targets
@@ -23,7 +23,7 @@
 MOST_TRIALS = 60
 
 
-class Paths:
+class PathMonitor:
     """The ways of one node.
 
     :param known: the upstreams.
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        known: knowns.Known,
+        known: knowns.UpstreamPool,
         host: str,
         spawn: typing.Callable[..., typing.Any],
         rng: random.Random,
--- a/carawaystair/gateway/figures.py
+++ b/carawaystair/gateway/request_metrics.py
@@ -8,7 +8,7 @@
 MICROS = 1e6
 
 
-class Figures:
+class RequestMetrics:
     """What a node and its gateway count; read by the metrics."""
 
     def __init__(self) -> None:
--- a/carawaystair/gateway/resuming.py
+++ b/carawaystair/gateway/resuming.py
@@ -16,9 +16,9 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
+from carawaystair.gateway import dispatches
 from carawaystair.gateway import hops
-from carawaystair.gateway import sends
-from carawaystair.gateway import trips
+from carawaystair.gateway import send_attempts
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import target as targets
@@ -41,41 +41,44 @@
 LOST = frozenset((interfaces.BROKEN, interfaces.SILENT))
 
 
-class Doubted(Exception):
+class Unresponsive(Exception):
     """A gateway has shown no sign of life in time.
 
     :param attempt: what was sent; it stays open.
     """
 
-    def __init__(self, attempt: sends.ToGateway) -> None:
+    def __init__(self, attempt: send_attempts.GatewayAttempt) -> None:
         super().__init__()
         self.attempt = attempt
 
 
-class Signs(typing.Protocol):
+class ProgressObserver(typing.Protocol):
     """Is told of a gateway's signs of life."""
 
-    def doubted(self, attempt: sends.ToGateway) -> None:
+    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note that none came in time."""
 
-    def seen(self, attempt: sends.ToGateway) -> None:
+    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note of one."""
 
 
-class Asks(typing.Protocol):
+class AttemptSender(typing.Protocol):
     """Sends questions to gateways."""
 
     def again(
-        self, trip: trips.Trip, lost: trips.Lost, detour: bool
-    ) -> sends.ToGateway:
+        self,
+        trip: dispatches.Dispatch,
+        lost: dispatches.LostConnection,
+        detour: bool,
+    ) -> send_attempts.GatewayAttempt:
         """Return a further question, not sent yet."""
 
     def answer(
         self,
-        trip: trips.Trip,
+        trip: dispatches.Dispatch,
         target: targets.Target,
-        attempt: sends.ToGateway,
-        signs: Signs,
+        attempt: send_attempts.GatewayAttempt,
+        signs: ProgressObserver,
     ) -> typing.Coroutine[typing.Any, typing.Any, answers.Answer]:
         """Send a question unless it was sent, and return its answer."""
 
@@ -95,9 +98,9 @@
 
     def __init__(
         self,
-        asks: Asks,
-        trip: trips.Trip,
-        lost: trips.Lost,
+        asks: AttemptSender,
+        trip: dispatches.Dispatch,
+        lost: dispatches.LostConnection,
         limit_s: float,
         recorder: decisions.Recorder,
     ) -> None:
@@ -107,8 +110,8 @@
         self.limit_s = limit_s
         self.recorder = recorder
         self.began = clock.now()
-        self.open: dict[asyncio.Task, sends.ToGateway] = {}
-        self.doubtful: set[sends.ToGateway] = set()
+        self.open: dict[asyncio.Task, send_attempts.GatewayAttempt] = {}
+        self.doubtful: set[send_attempts.GatewayAttempt] = set()
         # The highest number of a question that was sent and has ended.
         self.newest = 0
         self.detour = True
@@ -118,7 +121,7 @@
         self.unsent = False
         # Since when the upstream is gone, as far as is known.
         self.gone_at: float | None = None
-        self.sign_s = sends.SIGN_S
+        self.sign_s = send_attempts.SIGN_S
         self.news = asyncio.Event()
         # What the request has failed with, while a newer question is open.
         self.verdict: answers.Failed | None = None
@@ -128,7 +131,7 @@
 
     async def answer(
         self,
-        attempt: sends.ToGateway | None = None,
+        attempt: send_attempts.GatewayAttempt | None = None,
         failed: answers.Failed | None = None,
     ) -> answers.Answer:
         """Return the answer to the request.
@@ -230,7 +233,7 @@
         attempt.sign_s = self.sign_s
         self._watch(attempt)
 
-    def _watch(self, attempt: sends.ToGateway) -> None:
+    def _watch(self, attempt: send_attempts.GatewayAttempt) -> None:
         target = self.lost.target
         task = asyncio.ensure_future(
             self.asks.answer(self.trip, target, attempt, self)
@@ -239,7 +242,7 @@
         self.open[task] = attempt
 
     def _outcome(
-        self, task: asyncio.Task, attempt: sends.ToGateway
+        self, task: asyncio.Task, attempt: send_attempts.GatewayAttempt
     ) -> answers.Answer | None:
         """Return the answer to a question; None where it decides nothing."""
         self.doubtful.discard(attempt)
@@ -247,7 +250,7 @@
         self._count(attempt)
         try:
             return task.result()
-        except trips.Declined as declined:
+        except dispatches.Declined as declined:
             # A third node that can't reach the gateway says so, too.
             cut = attempt.helper and declined.reason == hops.UNREACHABLE
             if decides and not cut:
@@ -264,12 +267,12 @@
             self.verdict = failed
         return None
 
-    def _count(self, attempt: sends.ToGateway) -> None:
+    def _count(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Remember the number of a question that may have arrived."""
         if attempt.sent:
             self.newest = max(self.newest, attempt.hop.number)
 
-    def _is_newest(self, attempt: sends.ToGateway) -> bool:
+    def _is_newest(self, attempt: send_attempts.GatewayAttempt) -> bool:
         """Tell whether no newer question may have arrived."""
         sent = [other for other in self.open.values() if other.sent]
         numbers = [other.hop.number for other in sent]
@@ -283,12 +286,12 @@
 
     # The signs of a gateway
 
-    def doubted(self, attempt: sends.ToGateway) -> None:
+    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note that a question brought no sign of life in time."""
         self.doubtful.add(attempt)
         self.news.set()
 
-    def seen(self, attempt: sends.ToGateway) -> None:
+    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
         """Take note of a sign of life.
 
         The gateway has the request.  Other questions would only bring its
@@ -300,7 +303,7 @@
         self.doubtful.discard(attempt)
         self._drop_all_but(attempt)
 
-    def _drop_all_but(self, kept: sends.ToGateway | None) -> None:
+    def _drop_all_but(self, kept: send_attempts.GatewayAttempt | None) -> None:
         for task, attempt in list(self.open.items()):
             if attempt is kept or (kept is not None and task.done()):
                 continue
--- a/carawaystair/gateway/evidence.py
+++ b/carawaystair/gateway/run_observer.py
@@ -18,7 +18,7 @@
 LOG = logs.get('gateway')
 
 
-class Evidence:
+class RunObserver:
     """One run as its upstream's estimate sees it.
 
     :param upstream: id of the upstream.
@@ -34,9 +34,9 @@
         self.route = route
         self.began = clock.now()
         # Whether it was seen to survive, and to be overdue.
-        self.lives = False
-        self.late = False
-        expected_s = slots.line.takes_s(route, self.began)
+        self.survived = False
+        self.overdue = False
+        expected_s = slots.queue.takes_s(route, self.began)
         loop = asyncio.get_running_loop()
         self.timers = (
             loop.call_later(SURVIVED_S, self._survived),
@@ -47,8 +47,8 @@
         slots.gate.trials.began(self.began)
 
     def _survived(self) -> None:
-        if not self.lives:
-            self.lives = True
+        if not self.survived:
+            self.survived = True
             self._see(estimating.SURVIVED)
 
     def _overdue(self) -> None:
@@ -56,7 +56,7 @@
 
         Its upstream would get others meanwhile, which hang as well.
         """
-        self.late = True
+        self.overdue = True
         self._see(estimating.OVERDUE)
         self.slots.gate.trials.failed(clock.now())
 
@@ -69,7 +69,7 @@
             LOG.info('An upstream is likely to fail.', **said)
             # It would fail all that wait for it, one after the other, within
             # milliseconds; others may have room for them.
-            self.slots.turn_away()
+            self.slots.evict_waiting()
         elif after <= estimating.LIKELY < before:
             LOG.info('An upstream is sound again.', **said)
 
@@ -82,9 +82,9 @@
         """Take note of a good answer."""
         now = clock.now()
         took_s = now - self.began
-        self.slots.line.learn(self.route, self.began, took_s)
+        self.slots.queue.learn(self.route, self.began, took_s)
         self._survived()
-        if not self.late:
+        if not self.overdue:
             self._see(estimating.SUCCEEDED)
         self.slots.gate.trials.succeeded()
 
@@ -96,7 +96,7 @@
             self._see(estimating.FAILED_AT_ONCE)
             return
         self._survived()
-        if not self.late:
+        if not self.overdue:
             self._see(estimating.FAILED)
 
     def shed(self) -> None:
--- a/carawaystair/gateway/sends.py
+++ b/carawaystair/gateway/send_attempts.py
@@ -11,9 +11,9 @@
 
 from carawaystair import clock
 from carawaystair import codes
-from carawaystair.gateway import ages
 from carawaystair.gateway import hops
 from carawaystair.gateway import pacer as pacers
+from carawaystair.gateway import transit
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import attempt as attempts
@@ -55,7 +55,7 @@
 RESET = struct.pack('ii', 1, 0)
 
 
-class ToUpstream(attempts.Attempt):
+class UpstreamAttempt(attempts.Attempt):
     """A request on its way from the gateway to its upstream.
 
     :param call: the request, whose head has the callers' headers only.
@@ -147,7 +147,7 @@
         return None
 
 
-class ToGateway(attempts.Attempt):
+class GatewayAttempt(attempts.Attempt):
     """A request on its way to another node's gateway.
 
     :param call: the request.
@@ -176,7 +176,7 @@
         hop: hops.Hop,
         fresh: bool = False,
         helper: bool = False,
-        gateway_clock: ages.Clock | None = None,
+        gateway_clock: transit.ClockOffset | None = None,
     ) -> None:
         super().__init__(call, target, fresh=fresh)
         self.hop = hop
@@ -205,7 +205,7 @@
         if self.gateway_clock is None:
             return hops.line(self.hop)
         self.asked_ms = clock.uptime_ms()
-        sent_ms = self.gateway_clock.there(self.asked_ms)
+        sent_ms = self.gateway_clock.to_remote(self.asked_ms)
         return hops.line(self.hop._replace(left_ms=left_ms, sent_ms=sent_ms))
 
     def write(self, head: bytes) -> None:
@@ -226,7 +226,7 @@
         way = self._way()
         if body is None:
             self.pump = pacers.Pump(self.source(), proto, way)
-        elif way is pacers.FREE:
+        elif way is pacers.UNTHROTTLED:
             proto.transport.write(body)
             return
         else:
@@ -236,11 +236,11 @@
             self.pump = pacers.Pump(held, proto, way)
         self.pump.start()
 
-    def _way(self) -> pacers.Way:
+    def _way(self) -> pacers.Throttle:
         """Return the way of its body."""
         pacer = self.target.pacer
         if pacer is None:
-            return pacers.FREE
+            return pacers.UNTHROTTLED
         return pacer.way(self.target.upstream.host)
 
     @property
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -7,19 +7,19 @@
 
 from carawaystair import clock
 from carawaystair import decisions
-from carawaystair.gateway import door as doors
-from carawaystair.gateway import figures as figures_module
-from carawaystair.gateway import front as fronts
-from carawaystair.gateway import handover as handovers
-from carawaystair.gateway import inner as inners
-from carawaystair.gateway import known as knowns
+from carawaystair.gateway import caller_handler as fronts
+from carawaystair.gateway import dispatcher as relays
+from carawaystair.gateway import executor as works
+from carawaystair.gateway import gateway_client as handovers
+from carawaystair.gateway import hop_handler as doors
+from carawaystair.gateway import nested_calls as inners
 from carawaystair.gateway import pacer as pacers
 from carawaystair.gateway import paths
-from carawaystair.gateway import relay as relays
-from carawaystair.gateway import sends
-from carawaystair.gateway import settling as settlings
+from carawaystair.gateway import request_metrics as figures_module
+from carawaystair.gateway import send_attempts
 from carawaystair.gateway import splitting
-from carawaystair.gateway import work as works
+from carawaystair.gateway import startup as settlings
+from carawaystair.gateway import upstream_pool as knowns
 from carawaystair import interfaces
 from carawaystair.load import nesting
 from carawaystair.load import retrying
@@ -74,9 +74,9 @@
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        inner = inners.InnerCalls(nesting.Payer(share))
+        inner = inners.NestedCalls(nesting.Payer(share))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
-        self.known = knowns.Known(
+        self.pool = knowns.UpstreamPool(
             settings.data_centre,
             membership.directory,
             routing,
@@ -84,20 +84,20 @@
             self.pacer,
         )
         self.meters = meters_module.Meters(kernel.timeline)
-        self.paths = paths.Paths(
-            self.known, settings.host, self.add_future, rng
+        self.path_monitor = paths.PathMonitor(
+            self.pool, settings.host, self.add_future, rng
         )
-        self.handover = handovers.Handover(
+        self.client = handovers.GatewayClient(
             settings.host,
-            self.paths,
-            self.known,
+            self.path_monitor,
+            self.pool,
             self._process,
             recorder,
         )
-        settling = settlings.Settling()
-        self.relay = relays.Relay(
-            self.known,
-            self.handover,
+        settling = settlings.StartupWait()
+        self.dispatcher = relays.Dispatcher(
+            self.pool,
+            self.client,
             settling,
             share,
             quarantine,
@@ -105,29 +105,40 @@
             recorder,
         )
         # The time of the start keeps ids of two runs of this host apart.
-        self.figures = figures_module.Figures()
-        self.front = fronts.Front(
+        self.request_metrics = figures_module.RequestMetrics()
+        self.caller_handler = fronts.CallerHandler(
             settings,
             '%s-%x' % (settings.host, kernel.incarnation & 0xFFFFFFFF),
             routing,
             behind_s,
-            self.relay,
+            self.dispatcher,
             settling,
             splitting.Splitter(rng),
             inner,
             self.meters,
-            self.figures,
+            self.request_metrics,
             recorder,
         )
-        self.work = works.Work(
-            membership, settings, inner, self.figures, quarantine, recorder
+        self.executor = works.Executor(
+            membership,
+            settings,
+            inner,
+            self.request_metrics,
+            quarantine,
+            recorder,
+        )
+        self.hop_handler = doors.HopHandler(
+            self.executor, self.request_metrics, recorder, self.pacer
         )
-        self.door = doors.Door(self.work, self.figures, recorder, self.pacer)
         self.recorder = recorder
-        self.callers = listeners.Listener(
-            self.front.handle, self.front.bounds, self.front.may_run_ahead
+        self.caller_listener = listeners.Listener(
+            self.caller_handler.handle,
+            self.caller_handler.bounds,
+            self.caller_handler.may_run_ahead,
+        )
+        self.node_listener = listeners.Listener(
+            self.hop_handler.handle, _node_limits
         )
-        self.nodes = listeners.Listener(self.door.handle, _node_bounds)
         self.stopping = False
 
     def _process(self, host: str) -> str:
@@ -137,7 +148,7 @@
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the upstreams that last were said to fail."""
-        views = self.known.board.views
+        views = self.pool.board.views
         return frozenset(
             upstream.id
             for upstream in self.membership.directory.upstreams(service)
@@ -149,26 +160,26 @@
     async def on_start(self) -> None:
         """Listen for other nodes, then for callers."""
         metrics.collect(self.meters.samples)
-        metrics.collect(self.figures.samples)
+        metrics.collect(self.request_metrics.samples)
         metrics.collect(self.samples)
         settings = self.settings
-        await self.nodes.listen(settings.bound(settings.node.gateway))
-        await self.callers.listen(settings.bound(settings.node.listen))
+        await self.node_listener.listen(settings.bound(settings.node.gateway))
+        await self.caller_listener.listen(settings.bound(settings.node.listen))
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
         """Yield what the parts of the path know of themselves."""
-        yield metrics.Sample('resumed_total', self.handover.resumed)
-        yield metrics.Sample('hedged_total', self.relay.hedged)
-        yield metrics.Sample('joined_runs_total', self.door.runs.joined)
+        yield metrics.Sample('resumed_total', self.client.resumed)
+        yield metrics.Sample('hedged_total', self.dispatcher.hedged)
+        yield metrics.Sample('joined_runs_total', self.hop_handler.runs.joined)
         yield metrics.Sample(
             'lines_left_out_total', self.recorder.room.left_out
         )
         if self.pacer.link is not None:
             ahead_s = self.pacer.link.ahead_s(clock.now())
             yield metrics.Sample('link_ahead_seconds', ahead_s)
-        for name, slots in self.work.slots.items():
+        for name, slots in self.executor.slots.items():
             labels = (('upstream', name),)
-            line = slots.line
+            line = slots.queue
             yield metrics.Sample('gateway_running', line.running, labels)
             yield metrics.Sample('gateway_waiting', len(line.waiting), labels)
             yield metrics.Sample(
@@ -176,12 +187,12 @@
             )
             idle_s = slots.gate.idle_s(clock.now())
             yield metrics.Sample('gateway_idle_seconds', idle_s, labels)
-        for service, spread in self.known.spreadings.items():
+        for service, spread in self.pool.spreadings.items():
             labels = (('service', service),)
             yield metrics.Sample(
                 'service_failing_share', spread.failing, labels
             )
-        for service, budget in self.relay.budgets.budgets.items():
+        for service, budget in self.dispatcher.budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
                 'node_firsts_total', budget.total_firsts, labels
@@ -189,7 +200,7 @@
             yield metrics.Sample(
                 'node_repeats_total', budget.total_repeats, labels
             )
-        for service, budget in self.work.budgets.budgets.items():
+        for service, budget in self.executor.budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
                 'gateway_firsts_total', budget.total_firsts, labels
@@ -204,8 +215,8 @@
         while not self.should_stop:
             await self.sleep(connections.SWEEP_S)
             now = clock.now()
-            self.known.sweep(now)
-            self.work.sweep(now)
+            self.pool.sweep(now)
+            self.executor.sweep(now)
 
     async def on_stop(self) -> None:
         """Let callers and other nodes leave, finish, then close.
@@ -218,22 +229,22 @@
         node = self.settings.node
         now = clock.now()
         ends = now + max(node.drain_s - STOP_SLACK_S, 0.0)
-        self.front.ends = ends
-        self.front.last_new = min(now + node.lame_duck_s, ends)
+        self.caller_handler.ends = ends
+        self.caller_handler.last_new = min(now + node.lame_duck_s, ends)
         self.membership.registry.close()
-        self.work.close()
-        while clock.now() < self.front.last_new:
+        self.executor.close()
+        while clock.now() < self.caller_handler.last_new:
             await asyncio.sleep(STOP_POLL_S)
-        self.callers.close()
-        self.callers.close_idle()
+        self.caller_listener.close()
+        self.caller_listener.close_idle()
         while clock.now() < ends and self._busy():
             await asyncio.sleep(STOP_POLL_S)
-        self.nodes.close()
-        self.front.give_up()
+        self.node_listener.close()
+        self.caller_handler.give_up()
         await asyncio.sleep(ANSWER_S)
-        await self.callers.abort()
-        await self.nodes.abort()
-        self.known.close()
+        await self.caller_listener.abort()
+        await self.node_listener.abort()
+        self.pool.close()
 
     def _busy(self) -> bool:
         """Tell whether work or answers are on their way.
@@ -242,17 +253,17 @@
         full or to a caller that reads slowly, a part of it stands here.  And
         a run whose connection broke may be asked for again.
         """
-        listeners = (self.callers, self.nodes)
+        listeners = (self.caller_listener, self.node_listener)
         return bool(
-            self.front.active
-            or self.door.active
-            or self.door.runs.orphans
+            self.caller_handler.active
+            or self.hop_handler.active
+            or self.hop_handler.runs.orphans
             or any(listener.sending for listener in listeners)
         )
 
 
-def _node_bounds() -> incoming.Bounds:
+def _node_limits() -> incoming.Bounds:
     """Return what other nodes may send: heads as long as callers' and ours,
     and no connection that has gone silent.
     """
-    return incoming.Bounds(MOST_HEAD_BYTES, silence_s=sends.SILENCE_S)
+    return incoming.Bounds(MOST_HEAD_BYTES, silence_s=send_attempts.SILENCE_S)
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -33,7 +33,7 @@
     def __init__(self, process: typing.Callable[[], str], count: int) -> None:
         self.process = process
         self.gate = gate.Gate(count)
-        self.line = self.gate.line
+        self.queue = self.gate.line
         self.waiters: dict[str, asyncio.Future] = {}
 
     async def take(self, want: waiting.Want, may_wait: bool) -> float:
@@ -42,7 +42,7 @@
         :raises Refused: when there is none in time.
         """
         began = clock.now()
-        verdict = self.line.ask(want, began, may_wait)
+        verdict = self.queue.ask(want, began, may_wait)
         if verdict.reason:
             raise Refused(verdict.reason, 'wait %.2f s' % verdict.wait_s)
         if verdict.starts:
@@ -50,7 +50,7 @@
         loop = asyncio.get_running_loop()
         future = self.waiters[want.id] = loop.create_future()
         timer = loop.call_at(
-            self.line.last_start(want, began), self._give_up, want.id
+            self.queue.last_start(want, began), self._give_up, want.id
         )
         try:
             if not await future:
@@ -62,41 +62,41 @@
             raise
         finally:
             timer.cancel()
-            self.line.leave(want.id)
+            self.queue.leave(want.id)
             self.waiters.pop(want.id, None)
         return clock.now() - began
 
     def free(self, request: str) -> None:
         """Give the slot of a request back."""
-        self.line.end(request)
+        self.queue.end(request)
         self.serve()
 
     def serve(self) -> None:
         """Let those start who have a slot now."""
-        while started := self.line.start(clock.now()):
+        while started := self.queue.start(clock.now()):
             for name in started:
                 future = self.waiters.get(name)
                 if future is None or future.done():
                     # It left just now.
-                    self.line.end(name)
+                    self.queue.end(name)
                 else:
                     future.set_result(True)
 
-    def turn_away(self) -> None:
+    def evict_waiting(self) -> None:
         """Let all that wait go elsewhere: the upstream has turned gray."""
         self.refuse_all(gate.RISKY)
 
     def refuse_all(self, reason: str) -> None:
         """Refuse all that wait: the upstream takes no more work."""
         for name, future in list(self.waiters.items()):
-            self.line.leave(name)
+            self.queue.leave(name)
             if not future.done():
                 future.set_exception(Refused(reason))
 
     def _give_up(self, name: str) -> None:
         future = self.waiters.get(name)
         if future is not None and not future.done():
-            self.line.leave(name)
+            self.queue.leave(name)
             future.set_result(False)
 
     def failing(self) -> float:
--- a/carawaystair/gateway/settling.py
+++ b/carawaystair/gateway/startup.py
@@ -19,7 +19,7 @@
 POLL_S = 0.03
 
 
-class Settling:
+class StartupWait:
     """Waits for what a process that has just started will know soon."""
 
     def __init__(self) -> None:
--- a/carawaystair/gateway/streaming.py
+++ b/carawaystair/gateway/streaming.py
@@ -29,7 +29,7 @@
     answer: answers.Answer,
     exchange: exchanges.Exchange,
     extra: bytes,
-    way: pacer.Way,
+    way: pacer.Throttle,
 ) -> None:
     """Write an answer that is held whole.
 
@@ -47,7 +47,7 @@
     answer: answers.Answer,
     exchange: exchanges.Exchange,
     extra: bytes = b'',
-    way: pacer.Way = pacer.FREE,
+    way: pacer.Throttle = pacer.UNTHROTTLED,
 ) -> str:
     """Pass a long answer on; return why it broke off, or nothing.
 
@@ -84,7 +84,7 @@
 
 
 async def _write(
-    data: bytes, exchange: exchanges.Exchange, way: pacer.Way
+    data: bytes, exchange: exchanges.Exchange, way: pacer.Throttle
 ) -> None:
     async for piece in way.pieces(data):
         await exchange.request.writer.write(piece, drain=False)
--- a/carawaystair/gateway/ages.py
+++ b/carawaystair/gateway/transit.py
@@ -24,7 +24,7 @@
 MOST = 4096
 
 
-class Clock:
+class ClockOffset:
     """How far the clock of one gateway is ahead of this node's.
 
     Times count from the starts of the hosts, in ms, and go on while a host is
@@ -32,41 +32,43 @@
     """
 
     def __init__(self) -> None:
-        self.ahead: collections.deque[int] = collections.deque(maxlen=SAMPLES)
+        self.offsets: collections.deque[int] = collections.deque(
+            maxlen=SAMPLES
+        )
 
-    def heard(self, sent_ms: int, read_ms: int) -> None:
+    def observe(self, sent_ms: int, read_ms: int) -> None:
         """Take note of when the gateway read a request.
 
         :param sent_ms: when the request was sent, in this node's time.
         :param read_ms: when it was read, in the gateway's time.
         """
-        self.ahead.append(read_ms - sent_ms)
+        self.offsets.append(read_ms - sent_ms)
 
-    def there(self, here_ms: int) -> int:
+    def to_remote(self, here_ms: int) -> int:
         """Return a moment of this node in the gateway's time, 0 if unknown."""
-        return here_ms + min(self.ahead) if self.ahead else 0
+        return here_ms + min(self.offsets) if self.offsets else 0
 
 
-class Clocks:
+class ClockOffsets:
     """The clocks of all gateways that a node sends to."""
 
     def __init__(self) -> None:
-        self.clocks: dict[tuple[str, str], Clock] = {}
+        self.clocks: dict[tuple[str, str], ClockOffset] = {}
 
-    def of(self, host: str, process: str) -> Clock:
+    def of(self, host: str, process: str) -> ClockOffset:
         """Return the clock of a gateway.
 
         :param host: its host: processes of several hosts may have one name.
         :param process: names the start of its process.
         """
-        found = self.clocks.pop((host, process), None) or Clock()
+        found = self.clocks.pop((host, process), None) or ClockOffset()
         self.clocks[host, process] = found
         if len(self.clocks) > MOST:
             del self.clocks[next(iter(self.clocks))]
         return found
 
 
-def aged(hop: hops.Hop, now_ms: int) -> hops.Hop | None:
+def deduct_transit_time(hop: hops.Hop, now_ms: int) -> hops.Hop | None:
     """Return a request with the time that is left of it now.
 
     None when its sender has given it up: what is begun then runs for nobody.
--- a/carawaystair/gateway/known.py
+++ b/carawaystair/gateway/upstream_pool.py
@@ -31,7 +31,7 @@
     again: float = 0.0
 
 
-class Known:
+class UpstreamPool:
     """Upstreams, their gateways and what is known of their load.
 
     :param data_centre: where this node stands.
--- a/test/gateway_setup.py
+++ b/test/gateway_setup.py
@@ -27,7 +27,7 @@
 )
 
 
-class Lines:
+class LogLines:
     """Takes log lines."""
 
     def __init__(self) -> None:
@@ -81,10 +81,10 @@
     def publish(self, _urgent: bool) -> None:
         """Tell all nodes of the upstreams of this one."""
         told = {row.id: row for row in self.registry.rows()}
-        for name in set(self.node.told) - set(told):
-            gone = self.node.told[name]._replace(state=interfaces.GONE)
-            self.fleet.tell(gone)
-        self.node.told = {
+        for name in set(self.node.announced) - set(told):
+            gone = self.node.announced[name]._replace(state=interfaces.GONE)
+            self.fleet.publish(gone)
+        self.node.announced = {
             row.id: interfaces.Upstream(
                 row.id,
                 row.service,
@@ -98,8 +98,8 @@
             )
             for row in told.values()
         }
-        for upstream in self.node.told.values():
-            self.fleet.tell(upstream)
+        for upstream in self.node.announced.values():
+            self.fleet.publish(upstream)
 
 
 class Node:
@@ -111,11 +111,11 @@
     def __init__(self, number: int, fleet: 'Fleet', upstream, **node) -> None:
         self.number = number
         self.host = 'h%d' % number
-        self.data_centre = fleet.centre(number)
+        self.data_centre = fleet.data_centre(number)
         self.listen = 8000 + number
         self.gateway = 7000 + number
         self.gateway_address = '127.0.0.1:%d' % self.gateway
-        self.told: dict[str, interfaces.Upstream] = {}
+        self.announced: dict[str, interfaces.Upstream] = {}
         self.upstream = upstream
         self.runs_service = fleet.services[number]
         self.membership = Membership(self, fleet)
@@ -127,7 +127,7 @@
             '127.0.0.1:%d' % (6000 + number),
             self.membership.incarnation,
         )
-        self.lines = Lines()
+        self.lines = LogLines()
         text = {
             'host': self.host,
             'data_centre': self.data_centre,
@@ -178,7 +178,7 @@
         )
         self.membership.registry.announce(self.upstream.name, said, 1)
 
-    def story(self, request: str) -> list[dict]:
+    def events_of(self, request: str) -> list[dict]:
         """Return the events about a request in this node's log."""
         events = [fakes.json.loads(line) for line in self.lines.lines]
         return [event for event in events if event.get('id') == request]
@@ -189,7 +189,8 @@
 
     :param scripts: one for each node with an upstream; None for a node
         without one.
-    :param far: so many of the last nodes stand in another data centre.
+    :param remote_count: number of nodes, counted from the last, that are in
+        another data centre.
     :param services: the service of each node's upstream; by default all have
         the same one.
     """
@@ -200,11 +201,11 @@
         slots: int = 5,
         routes=ROUTES,
         limits=manifest.Limits(),
-        far: int = 0,
+        remote_count: int = 0,
         services: tuple[str, ...] = (),
         **node,
     ) -> None:
-        self.far = far
+        self.remote_count = remote_count
         self.count = len(scripts)
         self.services = services or ('portal',) * len(scripts)
         self.routing = _routing(routes, limits, self.services)
@@ -218,11 +219,11 @@
                 upstream = setups.Upstream(9000 + number, script)
             self.nodes.append(Node(number, self, upstream, **node))
 
-    def centre(self, number: int) -> str:
+    def data_centre(self, number: int) -> str:
         """Return the data centre of a node."""
-        return 'b' if number >= self.count - self.far else 'a'
+        return 'b' if number >= self.count - self.remote_count else 'a'
 
-    def tell(self, upstream: interfaces.Upstream) -> None:
+    def publish(self, upstream: interfaces.Upstream) -> None:
         """Tell all nodes of an upstream."""
         for node in self.nodes:
             node.membership.directory.put(upstream)
@@ -307,12 +308,12 @@
     writer.write(setups.reply(b'no', 500, X_Receipt='r'))
 
 
-def ran(fleet: Fleet, path: str) -> int:
+def run_count(fleet: Fleet, path: str) -> int:
     """Return how often a request was run."""
     return sum(path in seen.line for seen in fleet.runs)
 
 
-async def asked(
+async def ask_until_running(
     fleet: Fleet, path: str, method: str, body: bytes = b'x'
 ) -> asyncio.Task:
     """Ask the first node; return once an upstream runs the request.
@@ -324,6 +325,6 @@
         await fleet.ask('/other/warm')
     body = body if method == 'POST' else b''
     asking = asyncio.ensure_future(fleet.ask(path, method, body=body))
-    while not ran(fleet, path):
+    while not run_count(fleet, path):
         await asyncio.sleep(0.01)
     return asking
--- a/test/request_setup.py
+++ b/test/request_setup.py
@@ -15,7 +15,7 @@
 from carawaystair import settings
 from carawaystair import timeline
 from test import fakes
-from test import inert
+from test import stubs
 
 LISTEN = 8080
 
@@ -156,10 +156,10 @@
         self.upstreams = upstreams
         announced = [announce(upstream) for upstream in upstreams]
         self.directory = fakes.Directory(*announced)
-        self.health = parts.get('health') or inert.Health()
-        self.evidence = inert.Evidence()
-        self.admission = parts.get('admission') or inert.Admission()
-        self.reservations = parts.get('reservations') or (inert.Reservations())
+        self.health = parts.get('health') or stubs.Health()
+        self.evidence = stubs.Evidence()
+        self.admission = parts.get('admission') or stubs.Admission()
+        self.reservations = parts.get('reservations') or (stubs.Reservations())
         self.routing = make_routing(service, routes)
         self.behind_s = 0.0
         text = (
@@ -180,7 +180,7 @@
             self.admission,
             self.reservations,
             lambda: self.routing,
-            parts.get('quarantine') or inert.Quarantine(),
+            parts.get('quarantine') or stubs.Quarantine(),
             lambda: self.behind_s,
         )
 
--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -193,7 +193,7 @@
     async def scenario():
         async with fleets.running(fleets.serve) as fleet:
             await fleet.ask('/read/a')
-            samples = list(fleet.nodes[0].service.figures.samples())
+            samples = list(fleet.nodes[0].service.request_metrics.samples())
             samples += list(fleet.nodes[0].service.samples())
             return {sample.name: sample.value for sample in samples}
 
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -6,9 +6,9 @@
 import pytest
 
 from carawaystair import decisions
-from carawaystair.gateway import sends
+from carawaystair.gateway import send_attempts
 from carawaystair.gateway import service
-from carawaystair.gateway import settling
+from carawaystair.gateway import startup
 from carawaystair import manifest
 from carawaystair.request import connections
 from carawaystair.request import incoming
@@ -26,7 +26,7 @@
                 Caraway_Deadline_Ms='900',
                 Caraway_Caller_Service='spoofed',
             )
-            return answer, fleet.runs, fleet.nodes[0].story('abc')
+            return answer, fleet.runs, fleet.nodes[0].events_of('abc')
 
     answer, runs, story = pipes.run(scenario())
     assert (answer.status, answer.body) == (200, b'u9001')
@@ -73,7 +73,7 @@
     for _ in range(4):
         await fleet.ask('/read/warm')
     fleet.nodes[2].announce('draining')
-    cut = fleet.nodes[0].service.known.targets['u9001']
+    cut = fleet.nodes[0].service.pool.targets['u9001']
 
     async def connect_unless_cut(target, until, *patience):
         if target == cut:
@@ -146,7 +146,7 @@
                 fleet.ask('/pay/x', 'POST', body=b'pay')
             )
             await asyncio.sleep(0.3)
-            door = fleet.nodes[1].service.door
+            door = fleet.nodes[1].service.hop_handler
             fleet.nodes[1].membership.incarnation += 1000
             door.runs.runs.clear()
             asyncio.get_running_loop().silence(fleet.nodes[1].gateway)
@@ -169,10 +169,10 @@
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
             writer.write(b'GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n')
             await asyncio.sleep(0.5)
-            busy = fleet.nodes[1].service.work.slots['u9001'].line.running
+            busy = fleet.nodes[1].service.executor.slots['u9001'].queue.running
             writer.close()
             await asyncio.sleep(0.3)
-            line = fleet.nodes[1].service.work.slots['u9001'].line
+            line = fleet.nodes[1].service.executor.slots['u9001'].queue
             return busy, line.running
 
     assert pipes.run(scenario()) == (1, 0)
@@ -318,7 +318,7 @@
     async def scenario(script):
         async with fleets.running(None, script) as fleet:
             answer = await fleet.ask('/read/a')
-            line = fleet.nodes[1].service.work.slots['u9001'].line
+            line = fleet.nodes[1].service.executor.slots['u9001'].queue
             return answer, line.running
 
     answer, running = pipes.run(scenario(whole))
@@ -355,7 +355,7 @@
             fleet.nodes[1].announce()
             first = (await early).status
             fleet.nodes[1].announce('gone')
-            await asyncio.sleep(settling.SETTLE_S)
+            await asyncio.sleep(startup.SETTLE_S)
             loop = asyncio.get_running_loop()
             began = loop.time()
             later = (await fleet.ask('/read/a')).status
@@ -508,7 +508,7 @@
 def test_lines_of_a_second_are_bounded_and_what_is_left_out_is_counted(
     monkeypatch,
 ):
-    lines = fleets.Lines()
+    lines = fleets.LogLines()
     recorder = decisions.Recorder('h', lines)
     now = [5_000]
     monkeypatch.setattr(decisions.clock, 'wall_ms', lambda: now[0])
@@ -552,7 +552,7 @@
         return found
 
     assert asyncio.run(scenario()) == 1000
-    assert service._node_bounds().silence_s == sends.SILENCE_S
+    assert service._node_limits().silence_s == send_attempts.SILENCE_S
 
 
 @pytest.mark.parametrize('error', [ConnectionResetError, KeyError])
@@ -569,7 +569,7 @@
             async def broken(*_arguments):
                 raise error('of another connection')
 
-            work = fleet.nodes[1].service.work
+            work = fleet.nodes[1].service.executor
             monkeypatch.setattr(work, '_send', broken)
             began = asyncio.get_running_loop().time()
             body = b'x' if method == 'POST' else b''
@@ -595,9 +595,9 @@
                 raise ConnectionResetError('of another connection')
 
             node = fleet.nodes[0]
-            node.service.relay.handover.exchange = broken
+            node.service.dispatcher.client.exchange = broken
             answer = await fleet.ask('/read/a', Caraway_Request_Id='r1')
-            return answer.status, [e['event'] for e in node.story('r1')]
+            return answer.status, [e['event'] for e in node.events_of('r1')]
 
     status, events = pipes.run(scenario())
     assert status == 500
--- a/test/test_gateway_crashing.py
+++ b/test/test_gateway_crashing.py
@@ -270,7 +270,7 @@
             answer = await fleet.ask('/read/crash')
             took_s = clock.now() - began
             node = fleet.nodes[0]
-            (told,) = node.story(answer.headers['caraway-request-id'])
+            (told,) = node.events_of(answer.headers['caraway-request-id'])
             return answer, took_s, told, node.quarantine.listing()
 
     answer, took_s, told, (suspect,) = pipes.run(scenario())
--- a/test/test_gateway_hedging.py
+++ b/test/test_gateway_hedging.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from carawaystair.gateway import relay
+from carawaystair.gateway import dispatcher
 from carawaystair import manifest
 from test import gateway_setup as fleets
 from test import pipes
@@ -69,11 +69,11 @@
             found = await ask_all(fleet, path, method, 6)
             await asyncio.sleep(1.0)
             left = sum(
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             )
-            hedged = fleet.nodes[0].service.relay.hedged
+            hedged = fleet.nodes[0].service.dispatcher.hedged
             return found, len(fleet.runs) - before, left, hedged
 
     return pipes.run(scenario())
@@ -85,7 +85,10 @@
     """
     found, _runs, left, hedged = play('/read/a')
     assert [status for status, _s in found] == [200] * 6
-    assert max(s for _status, s in found) < (relay.HEDGE_AFTER + 1.5) * USUAL_S
+    assert (
+        max(s for _status, s in found)
+        < (dispatcher.HEDGE_DELAY_FACTOR + 1.5) * USUAL_S
+    )
     assert hedged > 0
     # The runs that lost are cancelled.
     assert left == 0
@@ -123,9 +126,9 @@
             await ask_all(fleet, '/read/c', 'GET', 4)
             await busy
             return [
-                max(0, len(slots.line.waiting))
+                max(0, len(slots.queue.waiting))
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             ]
 
     assert pipes.run(scenario()) == [0, 0]
--- a/test/test_gateway_leaving.py
+++ b/test/test_gateway_leaving.py
@@ -6,13 +6,13 @@
 
 from carawaystair import clock
 from carawaystair.gateway import hops
-from carawaystair.gateway import sends
+from carawaystair.gateway import send_attempts
 from carawaystair import interfaces
 from carawaystair.request import call as calls
 from carawaystair.request import target as targets
 
 
-def _attempt(address: str) -> sends.ToGateway:
+def _attempt(address: str) -> send_attempts.GatewayAttempt:
     now = clock.now()
     head = b'GET / HTTP/1.1\r\n'
     call = calls.Call(
@@ -23,7 +23,9 @@
         'a', 'h', 'u', 's', 'c', 'r', 5000, 5000, 0, True, False, False,
         False, False, 1, 'p',
     )  # fmt: skip
-    return sends.ToGateway(call, targets.Target(upstream, now), hop)
+    return send_attempts.GatewayAttempt(
+        call, targets.Target(upstream, now), hop
+    )
 
 
 @contextlib.asynccontextmanager
@@ -64,7 +66,7 @@
     """Symptom: open connections add up.  Sequence: a caller leaves, and the
     gateway never closes.  Cause: an end that is waited for without limit.
     """
-    monkeypatch.setattr(sends, 'PART_S', 0.05)
+    monkeypatch.setattr(send_attempts, 'PART_S', 0.05)
 
     async def scenario():
         async with _sent() as (attempt, _gateway):
--- a/test/test_gateway_links.py
+++ b/test/test_gateway_links.py
@@ -114,7 +114,7 @@
                 await asyncio.sleep(0.1)
                 signs.append(await first_sign_s())
             answers = await asyncio.gather(*downloads)
-            resumed = fleet.nodes[0].service.handover.resumed
+            resumed = fleet.nodes[0].service.client.resumed
             told = [json.loads(line) for line in fleet.nodes[1].lines.lines]
             return signs, answers, resumed, told
 
@@ -207,7 +207,7 @@
             done: list = []
             await timed(fleet.ask('/read/10'), done, 'read')
             answers = await asyncio.gather(*uploads)
-            resumed = fleet.nodes[0].service.handover.resumed
+            resumed = fleet.nodes[0].service.client.resumed
             return done[0][1], resumed, answers
 
     took_s, resumed, answers = pipes.run(scenario())
@@ -233,7 +233,9 @@
             await asyncio.sleep(0.05)
             await timed(fleet.ask('/down/%d' % DOWNLOAD), done, 'stays')
             await asyncio.sleep(5.0)
-            line = next(iter(fleet.nodes[1].service.work.slots.values())).line
+            line = next(
+                iter(fleet.nodes[1].service.executor.slots.values())
+            ).queue
             return done[0][1], line.running
 
     took_s, running_now = pipes.run(scenario())
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from carawaystair.gateway import inner
+from carawaystair.gateway import nested_calls
 from carawaystair.load import nesting
 from carawaystair.load import retrying
 from test import gateway_setup as fleets
@@ -139,7 +139,7 @@
                 assert answer.status == 200 or step < 3
                 failed = len(fleet.nodes[1].upstream.runs) > before
                 if failed and step > 20:
-                    return fleet.nodes[2].story(name)
+                    return fleet.nodes[2].events_of(name)
                 await asyncio.sleep(0.5)
 
     story = pipes.run(scenario())
@@ -214,7 +214,7 @@
 
 def test_calls_have_the_rank_of_the_request_that_waits_for_them():
     budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
-    known = inner.InnerCalls(nesting.Payer(budgets))
+    known = nested_calls.NestedCalls(nesting.Payer(budgets))
     known.began('a', 's', 2, False)
     assert known.parent('a.1') == 'a'
     assert known.rank('a.1', 1) == 2
--- a/test/test_gateway_pacer.py
+++ b/test/test_gateway_pacer.py
@@ -57,4 +57,4 @@
         pacer = pacers.Pacer('own', MBPS)
         return pacer.way('own'), pacers.Pacer('own', 0.0).way('other')
 
-    assert fakes.run(scenario()) == (pacers.FREE, pacers.FREE)
+    assert fakes.run(scenario()) == (pacers.UNTHROTTLED, pacers.UNTHROTTLED)
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -168,7 +168,7 @@
 
 def repeats(fleet):
     """Return how many repeats gateways counted, and how many upstreams got."""
-    budgets = [n.service.work.budgets.of('portal') for n in fleet.nodes]
+    budgets = [n.service.executor.budgets.of('portal') for n in fleet.nodes]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
     counted = sum(budget.total_repeats for budget in budgets)
     return counted, len(ids) - len(set(ids))
@@ -188,7 +188,7 @@
         options = {'retry_ratio': 0.0, 'retry_slack': LARGE_SLACK}
         async with fleets.running(*scripts, **options) as fleet:
             for node in fleet.nodes:
-                payer = node.service.work.inner.payer
+                payer = node.service.executor.nested_calls.payer
                 payer.refused('other', clock.now())
                 payer.counts.ran('portal')
                 for _call in range(LARGE_SLACK):
--- a/test/test_gateway_resuming.py
+++ b/test/test_gateway_resuming.py
@@ -96,9 +96,9 @@
             )
             await asyncio.sleep(0.5)
             began = loop.time()
-            for life in fleet.nodes[1].service.work.lives.values():
+            for life in fleet.nodes[1].service.executor.instances.values():
                 life.slots.refuse_all('leaving')
-            fleet.nodes[1].service.work.leaving = True
+            fleet.nodes[1].service.executor.stopping = True
             answer = await asking
             filling.cancel()
             took = loop.time() - began
@@ -160,7 +160,7 @@
             fleets.serve,
             **THREE,
         ) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             before = list(loop.made)
             hit = []
@@ -179,7 +179,7 @@
                     pipe._lose(ConnectionResetError())
                     pipe.peer._lose(ConnectionResetError())
             answer = await asking
-            return answer.status, fleets.ran(fleet, path), len(hit)
+            return answer.status, fleets.run_count(fleet, path), len(hit)
 
     assert pipes.run(scenario()) == (200, 1, 1)
 
@@ -200,13 +200,17 @@
 
     async def scenario():
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             # Later for the open connection than for new ones.
             loop.queue(7001, 0.6)
             loop.queues['127.0.0.1:7001'] = 0.2
             answer = await asking
-            return answer.status, len(answer.body), fleets.ran(fleet, path)
+            return (
+                answer.status,
+                len(answer.body),
+                fleets.run_count(fleet, path),
+            )
 
     assert pipes.run(scenario()) == (200, len(body), 1)
 
@@ -222,12 +226,12 @@
             fleets.serve,
             **THREE,
         ) as fleet:
-            asking = await fleets.asked(fleet, '/pay/x', 'POST')
+            asking = await fleets.ask_until_running(fleet, '/pay/x', 'POST')
             loop = asyncio.get_running_loop()
             loop.silence(7001)
             loop.listeners.pop('127.0.0.1:7001')
             await asyncio.sleep(1.0)
-            count = fleet.nodes[0].service.handover.resumed
+            count = fleet.nodes[0].service.client.resumed
             asking.cancel()
             return count
 
@@ -244,7 +248,7 @@
 
     async def scenario():
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(
+            asking = await fleets.ask_until_running(
                 fleet, '/pay/x', 'POST', body=b'z' * body
             )
             loop = asyncio.get_running_loop()
@@ -253,8 +257,8 @@
             loop.swallowing.add('127.0.0.1:7001')
             began = loop.time()
             await asyncio.sleep(0.5)
-            up = next(iter(fleet.nodes[1].told.values()))
-            fleet.tell(up._replace(state='gone'))
+            up = next(iter(fleet.nodes[1].announced.values()))
+            fleet.publish(up._replace(state='gone'))
             answer = await asking
             return answer.status, round(loop.time() - began, 1)
 
@@ -290,10 +294,14 @@
 
     async def scenario():
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             asyncio.get_running_loop().queue(7001, 0.24)
             answer = await asking
-            return answer.status, len(answer.body), fleets.ran(fleet, path)
+            return (
+                answer.status,
+                len(answer.body),
+                fleets.run_count(fleet, path),
+            )
 
     assert pipes.run(scenario()) == (200, len(body), 1)
 
@@ -307,12 +315,12 @@
     async def scenario():
         script = fleets.slow(2.0)
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             loop.queue(7001, 0.4)
             loop.reset(7001)
             answer = await asking
-            return answer.status, fleets.ran(fleet, path)
+            return answer.status, fleets.run_count(fleet, path)
 
     assert pipes.run(scenario()) == (200, 1)
 
@@ -328,13 +336,13 @@
         async with fleets.running(
             None, script, retry_slack=0, lame_duck_s=1.0
         ) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             asyncio.ensure_future(fleet.nodes[1].service.stop())
             await asyncio.sleep(1.5)
             loop.reset(7001)
             answer = await asking
-            return answer.status, fleets.ran(fleet, path)
+            return answer.status, fleets.run_count(fleet, path)
 
     assert pipes.run(scenario()) == (200, 1)
 
@@ -351,7 +359,7 @@
 
     async def scenario():
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, '/pay/x', 'POST')
+            asking = await fleets.ask_until_running(fleet, '/pay/x', 'POST')
             loop = asyncio.get_running_loop()
             loop.queue(7001, 0.4)
             began = loop.time()
@@ -382,7 +390,7 @@
             asking = asyncio.ensure_future(
                 setups.ask(reader, writer, path, method, body=body)
             )
-            while not fleets.ran(fleet, path):
+            while not fleets.run_count(fleet, path):
                 await asyncio.sleep(0.01)
             loop = asyncio.get_running_loop()
             loop.queue(7001, queue_s)
@@ -397,8 +405,8 @@
             ]
             return (
                 sum(
-                    slots.line.running
-                    for slots in fleet.nodes[1].service.work.slots.values()
+                    slots.queue.running
+                    for slots in fleet.nodes[1].service.executor.slots.values()
                 ),
                 len(tasks),
             )
@@ -438,14 +446,14 @@
     async def scenario():
         script = fleets.slow(0.7)
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             loop.queue(7001, 0.6)
             await asyncio.sleep(0.3)
-            up = next(iter(fleet.nodes[1].told.values()))
-            fleet.tell(up._replace(state='gone'))
+            up = next(iter(fleet.nodes[1].announced.values()))
+            fleet.publish(up._replace(state='gone'))
             answer = await asking
-            return answer.status, fleets.ran(fleet, path)
+            return answer.status, fleets.run_count(fleet, path)
 
     assert pipes.run(scenario()) == (200, 1)
 
@@ -457,13 +465,13 @@
     async def scenario():
         script = fleets.slow(2.0)
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
             for pipe in loop.made:
                 if pipe.get_extra_info('peername')[1] == 7001:
                     pipe._lose(TimeoutError(110, 'Connection timed out'))
                     pipe.peer._lose(ConnectionResetError())
             answer = await asking
-            return answer.status, fleets.ran(fleet, path)
+            return answer.status, fleets.run_count(fleet, path)
 
     assert pipes.run(scenario()) == (200, 1)
--- a/test/test_gateway_spread.py
+++ b/test/test_gateway_spread.py
@@ -67,7 +67,9 @@
 
     async def scenario():
         asked, worked = [], []
-        async with fleets.running(*_scripts(rng, gray), far=far) as fleet:
+        async with fleets.running(
+            *_scripts(rng, gray), remote_count=far
+        ) as fleet:
             sound = [
                 node.upstream
                 for node in fleet.nodes
@@ -264,7 +266,7 @@
     async def scenario():
         scripts = [script(number) for number in range(state.count)]
         asked, seen, idle = [], [], []
-        async with fleets.running(*scripts, far=26) as fleet:
+        async with fleets.running(*scripts, remote_count=26) as fleet:
             loop = asyncio.get_running_loop()
             start = loop.time()
             for second in range(16):
--- a/test/test_gateway_ages.py
+++ b/test/test_gateway_transit.py
@@ -5,8 +5,8 @@
 import hypothesis
 from hypothesis import strategies
 
-from carawaystair.gateway import ages
 from carawaystair.gateway import hops
+from carawaystair.gateway import transit
 from test import gateway_setup as fleets
 from test import pipes
 
@@ -124,15 +124,20 @@
 
 
 def test_time_left_ages():
-    assert ages.aged(HOP, 10_000) == HOP
-    late = ages.aged(HOP, 10_100)
+    assert transit.deduct_transit_time(HOP, 10_000) == HOP
+    late = transit.deduct_transit_time(HOP, 10_100)
     assert (late.left_ms, late.goal_ms) == (800, 400)
     # A clock that is a little behind makes nothing younger.
-    assert ages.aged(HOP, 9_990) == HOP
-    assert ages.aged(HOP, 10_151) is None
-    assert ages.aged(HOP._replace(left_ms=80), 10_100) is None
+    assert transit.deduct_transit_time(HOP, 9_990) == HOP
+    assert transit.deduct_transit_time(HOP, 10_151) is None
+    assert (
+        transit.deduct_transit_time(HOP._replace(left_ms=80), 10_100) is None
+    )
     # Of an older version, which does not say when it was sent.
-    assert ages.aged(HOP._replace(sent_ms=0), 99_999).left_ms == 900
+    assert (
+        transit.deduct_transit_time(HOP._replace(sent_ms=0), 99_999).left_ms
+        == 900
+    )
 
 
 @hypothesis.given(
@@ -150,27 +155,27 @@
 )
 def test_no_request_is_taken_for_older_than_it_is(ahead, past, way_ms):
     """Whatever the clocks say, and however long answers took."""
-    clock = ages.Clock()
+    clock = transit.ClockOffset()
     now = 10**9
     for there_ms, work_ms, _back_ms in past:
         told = now + there_ms + work_ms + ahead
-        clock.heard(now, told)
+        clock.observe(now, told)
         now += 1000
-    sent_ms = clock.there(now)
+    sent_ms = clock.to_remote(now)
     arrived = now + way_ms + ahead
     assert arrived - sent_ms <= way_ms
     # And hardly for younger, once one short way was seen.
-    clock.heard(now, now + ahead)
-    sent_ms = clock.there(now)
+    clock.observe(now, now + ahead)
+    sent_ms = clock.to_remote(now)
     assert way_ms <= arrived - sent_ms or sent_ms > now + ahead
 
 
 def test_clocks_of_many_processes_take_bounded_memory():
-    clocks = ages.Clocks()
-    for number in range(2 * ages.MOST):
-        clocks.of('h', 'p%d' % number).heard(0, number)
-    assert len(clocks.clocks) == ages.MOST
-    assert clocks.of('h', 'unknown').there(5) == 0
+    clocks = transit.ClockOffsets()
+    for number in range(2 * transit.MOST):
+        clocks.of('h', 'p%d' % number).observe(0, number)
+    assert len(clocks.clocks) == transit.MOST
+    assert clocks.of('h', 'unknown').to_remote(5) == 0
 
 
 def test_processes_of_one_name_have_each_their_own_clock():
@@ -182,9 +187,9 @@
         HEARD 1776928789218 from a host that had been up for 42,861 s
         sent 1,962,732 now 99,219,912, patience 150
     """
-    clocks = ages.Clocks()
-    clocks.of('one', '1776928789218').heard(1000, 42_861_482)
-    assert clocks.of('two', '1776928789218').there(1000) == 0
-    clocks.of('two', '1776928789218').heard(1000, 5000)
-    assert clocks.of('two', '1776928789218').there(1200) == 5200
-    assert clocks.of('one', '1776928789218').there(1200) == 42_861_682
+    clocks = transit.ClockOffsets()
+    clocks.of('one', '1776928789218').observe(1000, 42_861_482)
+    assert clocks.of('two', '1776928789218').to_remote(1000) == 0
+    clocks.of('two', '1776928789218').observe(1000, 5000)
+    assert clocks.of('two', '1776928789218').to_remote(1200) == 5200
+    assert clocks.of('one', '1776928789218').to_remote(1200) == 42_861_682
--- a/test/test_gateway_doubt.py
+++ b/test/test_gateway_unresponsive.py
@@ -9,9 +9,9 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
+from carawaystair.gateway import dispatches
 from carawaystair.gateway import hops
 from carawaystair.gateway import resuming
-from carawaystair.gateway import trips
 from carawaystair.request import answer as answers
 from test import gateway_setup as fleets
 from test import pipes
@@ -34,14 +34,14 @@
     async def scenario():
         script = fleets.slow(WORK_S)
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, path, method)
+            asking = await fleets.ask_until_running(fleet, path, method)
             asyncio.get_running_loop().queue(7001, LATE_S)
             if stops:
                 for node in fleet.nodes:
                     asyncio.ensure_future(node.service.stop())
             answer = await asking
             gone = fleet.nodes[1].upstream.gone
-            return answer.status, fleets.ran(fleet, path), gone
+            return answer.status, fleets.run_count(fleet, path), gone
 
     assert pipes.run(scenario()) == (200, 1, 0)
 
@@ -53,14 +53,14 @@
     async def scenario():
         script = fleets.slow(2.0)
         async with fleets.running(None, script, retry_slack=0) as fleet:
-            asking = await fleets.asked(fleet, '/read/x', 'GET')
+            asking = await fleets.ask_until_running(fleet, '/read/x', 'GET')
             loop = asyncio.get_running_loop()
             loop.swallowing.add('127.0.0.1:7001')
             loop.reset(7001)
             await asyncio.sleep(gap_s)
             loop.swallowing.clear()
             answer = await asking
-            return answer.status, fleets.ran(fleet, '/read/x')
+            return answer.status, fleets.run_count(fleet, '/read/x')
 
     assert pipes.run(scenario()) == (200, 1)
 
@@ -89,9 +89,9 @@
             answer = await asking
             await asyncio.sleep(1.0)
             left = sum(
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             )
             return answer.status, loop.time() - began - 1.0 < 2.0, left
 
@@ -144,7 +144,7 @@
         resumption = resuming.Resumption(
             asks,
             trip,
-            trips.Lost(target, 'p', False),
+            dispatches.LostConnection(target, 'p', False),
             math.inf,
             decisions.Recorder('h'),
         )
@@ -162,7 +162,7 @@
 
     async def scenario(asks, asking, _upstream):
         old, new = asks.questions
-        old.result.set_exception(trips.Declined('busy', None))
+        old.result.set_exception(dispatches.Declined('busy', None))
         await asyncio.sleep(0.05)
         assert not asking.done()
         new.result.set_result('answer')
@@ -174,8 +174,8 @@
 def test_refusal_of_the_newest_question_counts():
     async def scenario(asks, asking, _upstream):
         old, new = asks.questions
-        new.result.set_exception(trips.Declined('busy', None))
-        with pytest.raises(trips.Declined):
+        new.result.set_exception(dispatches.Declined('busy', None))
+        with pytest.raises(dispatches.Declined):
             await asking
         return old.taken_back
 
--- a/test/test_gateway_uploads.py
+++ b/test/test_gateway_uploads.py
@@ -132,7 +132,9 @@
             await asyncio.sleep(0.2)
             writer.close()
             await asyncio.sleep(2.0)
-            line = next(iter(fleet.nodes[1].service.work.slots.values())).line
+            line = next(
+                iter(fleet.nodes[1].service.executor.slots.values())
+            ).queue
             again = await upload(b'z' * 20_000)
             return line.running, again
 
@@ -185,9 +187,9 @@
             )
             await asyncio.sleep(5.0)
             left = [
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             ]
             return found, [s for s in fleet.runs if 'up' in s.line], left
 
--- a/test/test_kept_connections.py
+++ b/test/test_kept_connections.py
@@ -118,7 +118,7 @@
                 raise error('of another connection')
 
             node = fleet.nodes[0].service
-            monkeypatch.setattr(node.relay.handover, 'exchange', broken)
+            monkeypatch.setattr(node.dispatcher.client, 'exchange', broken)
             return await fleet.ask('/read/a')
 
     answer = pipes.run(scenario())
@@ -130,7 +130,7 @@
 
 
 def _ended_by_node(node, _writer) -> None:
-    for connection in node.service.callers.connections:
+    for connection in node.service.caller_listener.connections:
         connection.transport.abort()
 
 
--- a/test/test_pipelining.py
+++ b/test/test_pipelining.py
@@ -195,18 +195,18 @@
             writer.write(sent('/read/3000', '/read/3001', '/read/3002'))
             await asyncio.sleep(0.5)
             running = [
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             ]
             writer.close()
             await asyncio.sleep(0.5)
             left = [
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             ]
-            return running, left, fleet.nodes[0].service.front.active
+            return running, left, fleet.nodes[0].service.caller_handler.active
 
     running, left, active = pipes.run(scenario())
     assert sum(running) == 3
@@ -309,9 +309,9 @@
             found = await asyncio.wait_for(reading, 60.0)
             await asyncio.sleep(8.0)
             left = sum(
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             )
             return found, [seen.line for seen in fleet.runs], left
 
@@ -358,9 +358,9 @@
             found = await answers(reader, 4)
             await asyncio.sleep(4.0)
             left = sum(
-                slots.line.running
+                slots.queue.running
                 for node in fleet.nodes
-                for slots in node.service.work.slots.values()
+                for slots in node.service.executor.slots.values()
             )
             return paths, found, [seen.line for seen in fleet.runs], left
 
--- a/test/test_request_keyed.py
+++ b/test/test_request_keyed.py
@@ -5,9 +5,9 @@
 import expression
 
 from carawaystair import codes
-from test import inert
 from test import pipes
 from test import request_setup as setups
+from test import stubs
 
 KEY = {'Idempotency_Key': 'k-1', 'Caraway_Customer': 'acme'}
 
@@ -134,7 +134,7 @@
 def test_no_majority():
     """Nothing is sent when the key can't be reserved."""
 
-    class Away(inert.Reservations):
+    class Away(stubs.Reservations):
         async def reserve(self, *details):
             return expression.Error(codes.Failure(codes.KEY_NO_MAJORITY))
 
--- a/test/test_request_late.py
+++ b/test/test_request_late.py
@@ -12,9 +12,9 @@
 from carawaystair.request import target as targets
 from carawaystairplug import balancer_peak
 from carawaystairplug import balancer_roundrobin
-from test import inert
 from test import pipes
 from test import request_setup as setups
+from test import stubs
 
 
 async def quick(upstream, seen, writer):
@@ -75,7 +75,7 @@
     Cause: a hedge would take the slot of a request that waits.
     """
 
-    class Busy(inert.Admission):
+    class Busy(stubs.Admission):
         def try_admit(self, *details):
             return None
 
@@ -215,7 +215,7 @@
 def test_trial():
     """A copy for trial goes out beside the first attempt, and both end."""
 
-    class Curious(inert.Health):
+    class Curious(stubs.Health):
         wishes = ['u9002']
 
         def trial(self, service):
@@ -267,7 +267,7 @@
 @pytest.mark.parametrize('come', [True, False])
 def test_peak_avoids_the_slow(come):
     """A slow answer, come or not, makes its upstream the last choice."""
-    peak = balancer_peak.Peak(random.Random(1), inert.Health())
+    peak = balancer_peak.Peak(random.Random(1), stubs.Health())
     found = candidates(0.01, 0.01, 0.01, 1.0 if come else 0.01)
     if not come:
         late = types.SimpleNamespace(started=-1.0)
@@ -280,7 +280,7 @@
 def test_peak_heeds_load_and_weight():
     """Requests in flight and soft weights count."""
 
-    class Doubting(inert.Health):
+    class Doubting(stubs.Health):
         def weight(self, upstream, customer=''):
             return 0.01 if upstream == 'u1' else 1.0
 
@@ -293,7 +293,7 @@
 
 def test_roundrobin():
     """The baseline goes round."""
-    turns = balancer_roundrobin.RoundRobin(random.Random(1), inert.Health())
+    turns = balancer_roundrobin.RoundRobin(random.Random(1), stubs.Health())
     assert drawn(turns, candidates(0.1, 9.0)) == [200, 200]
 
 
