--- a/carawaystair/experiments.py
+++ b/carawaystair/experiments.py
@@ -23,7 +23,7 @@
 from carawaystair.load import trying
 from carawaystair.load import valuing
 from carawaystair.load import waiting
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 
 class Part(typing.NamedTuple):
@@ -113,7 +113,9 @@
     # The last run that a route allows is spared a failure.
     'last-run': (Part(trips.Trip, 'last', property(_last_by_kind)),),
     # Requests sent ahead run side by side.
-    'side-by-side': (Part(incoming.Connection, '_run_ahead', _nothing),),
+    'side-by-side': (
+        Part(http_server.Connection, '_start_pipelined', _nothing),
+    ),
     # Bodies go out when a gateway has a slot for them.
     'ask-body': (Part(handover, 'ASK_BYTES', math.inf),),
     # What is sent between nodes ages on its way.
--- a/carawaystair/gateway/detours.py
+++ b/carawaystair/gateway/detours.py
@@ -11,14 +11,14 @@
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
-from carawaystair.request import caller
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import target as targets
+from carawaystair.request import validation
 
 MS = 1000
 # Bodies of detours are held whole; longer ones are not sent this way.
-MOST_BODY = bodies.HOLD_BYTES
+MOST_BODY = bodies.MAX_BUFFERED_BYTES
 # What a node says that knows nothing of an upstream.
 NOTHING = placing.Report('', False, 0, 0, 0, 0, 0, 0)
 
@@ -26,7 +26,7 @@
 
 
 async def pass_on(
-    hop: hops.Hop, request: incoming.Request, pacer: pacers.Pacer
+    hop: hops.Hop, request: http_server.Request, pacer: pacers.Pacer
 ) -> bool:
     """Hand a request to its gateway and its answer back.
 
@@ -42,7 +42,7 @@
         body = await bodies.read(
             request.content, MOST_BODY, MOST_BODY, deadline
         )
-    except caller.Refused:
+    except validation.Refused:
         return False
     onward = hop._replace(detour='')
     call = hops.call(hop, request, body.data, deadline)
@@ -71,7 +71,7 @@
         way.end()
 
 
-def _let_go(attempt: sends.ToGateway, request: incoming.Request) -> None:
+def _let_go(attempt: sends.ToGateway, request: http_server.Request) -> None:
     """End the way on as the way here has ended.
 
     A closed connection tells the gateway that nobody waits any more.  Closed
@@ -92,20 +92,20 @@
 
 async def _answer(
     hop: hops.Hop,
-    request: incoming.Request,
+    request: http_server.Request,
     attempt: sends.ToGateway,
     answer: answers.Answer,
     way: pacers.Way,
 ) -> bool:
     told = hops.says(answer, hops.REFUSAL) or hops.says(answer, hops.FAILURE)
     if told:
-        attempt.drop()
+        attempt.abort()
         hops.write(request, hops.passed_on(answer))
         return request.keep_alive
     exchange = exchanges.Exchange(request, hop.id)
     extra = hops.lines(answer.headers)
     if answer.rest is None:
-        attempt.drop()
+        attempt.abort()
         await streaming.whole(answer, exchange, extra, way)
         return exchange.keep_alive
     why = await streaming.pass_on(attempt, answer, exchange, extra, way)
--- a/carawaystair/gateway/door.py
+++ b/carawaystair/gateway/door.py
@@ -26,9 +26,9 @@
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
-from carawaystair.request import caller
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
+from carawaystair.request import validation
 
 # The first interim answer goes out after this time: most refusals and short
 # answers come sooner.
@@ -71,7 +71,7 @@
 
     # One request
 
-    async def handle(self, request: incoming.Request) -> bool:
+    async def handle(self, request: http_server.Request) -> bool:
         """Answer one hop; return whether another may follow."""
         hop = hops.read(request.headers.get(hops.HOP, ''))
         if hop is None:
@@ -90,7 +90,7 @@
             self.active -= 1
 
     async def _answer(
-        self, hop: hops.Hop, request: incoming.Request, signs: 'Signs'
+        self, hop: hops.Hop, request: http_server.Request, signs: 'Signs'
     ) -> bool:
         if hop.detour:
             signs.stop()
@@ -110,7 +110,7 @@
         except answers.Failed as failed:
             signs.stop()
             return self._fail(hop, request, failed.code, failed.detail)
-        except caller.Refused:
+        except validation.Refused:
             # The body broke off: whoever sent it has gone.
             return False
         except Exception as error:
@@ -155,7 +155,7 @@
     async def _pass_on(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         answer: answers.Answer,
         way: pacers.Way,
     ) -> bool:
@@ -176,7 +176,7 @@
         return exchange.keep_alive and not why
 
     async def _run(
-        self, hop: hops.Hop, request: incoming.Request
+        self, hop: hops.Hop, request: http_server.Request
     ) -> answers.Answer:
         """Run a request, or wait for its run."""
         take = functools.partial(self._take, hop, request)
@@ -194,17 +194,17 @@
         )
 
     async def _take(
-        self, hop: hops.Hop, request: incoming.Request
+        self, hop: hops.Hop, request: http_server.Request
     ) -> works.Body:
         """Return the body, or where it is read from when it is long."""
-        length = bodies.declared(request)
+        length = bodies.declared_length(request)
         if length == 0:
             return works.Body(b'')
         if hop.asks:
             hops.write(request, hops.CONTINUE)
         content = request.content
         until = clock.now() + hop.left_ms / MS
-        if length is not None and length > bodies.HOLD_BYTES:
+        if length is not None and length > bodies.MAX_BUFFERED_BYTES:
             data = b''
             if hop.asks:
                 # Until some of it is here, its sender may think that it was
@@ -213,14 +213,14 @@
                 data = begun.data
             source = bodies.Source(content, length, data, NO_LIMIT)
             return works.Body(None, source)
-        begun = await bodies.begin(content, NO_LIMIT, until)
+        begun = await bodies.read_start(content, NO_LIMIT, until)
         if begun.whole:
             return works.Body(begun.data)
         source = bodies.Source(content, None, begun.data, NO_LIMIT)
         return works.Body(None, source)
 
     def _defect(
-        self, hop: hops.Hop, request: incoming.Request, error: Exception
+        self, hop: hops.Hop, request: http_server.Request, error: Exception
     ) -> bool:
         """Answer although this program is at fault.
 
@@ -233,7 +233,7 @@
     def _fail(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         code: codes.Code,
         detail: str,
     ) -> bool:
@@ -243,10 +243,10 @@
         return _whole(request)
 
     def _report(
-        self, hop: hops.Hop, request: incoming.Request
+        self, hop: hops.Hop, request: http_server.Request
     ) -> placing.Report:
         """Return what the sender of a request should know."""
-        held_ms = int((clock.now() - request.arrived) * MS)
+        held_ms = int((clock.now() - request.arrived_at) * MS)
         report = self.work.report(hop.upstream, hop.route)
         return report._replace(read_ms=clock.uptime_ms() - held_ms)
 
@@ -255,7 +255,7 @@
     def _refuse(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         refused: slots_module.Refused,
     ) -> None:
         report = self._report(hop, request)
@@ -287,7 +287,7 @@
     :param request: the request.
     """
 
-    def __init__(self, request: incoming.Request) -> None:
+    def __init__(self, request: http_server.Request) -> None:
         self.request = request
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(FIRST_SIGN_S, self._sign)
@@ -310,6 +310,6 @@
     return body
 
 
-def _whole(request: incoming.Request) -> bool:
+def _whole(request: http_server.Request) -> bool:
     """Tell whether another request may follow on a connection."""
     return request.keep_alive and request.content.is_eof()
--- a/carawaystair/gateway/front.py
+++ b/carawaystair/gateway/front.py
@@ -18,15 +18,15 @@
 from carawaystair import interfaces
 from carawaystair import manifest
 from carawaystair.request import answer as answers
+from carawaystair.request import base_handler
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import digests
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import handling
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import meters as meters_module
+from carawaystair.request import validation
 from carawaystair import routing as routings
 from carawaystair import rows
 from carawaystair import settings as settings_module
@@ -41,7 +41,7 @@
 UNKNOWN_STATUS = 502
 
 
-class Front(handling.Handling):
+class Front(base_handler.BaseHandler):
     """Answers callers; one for each node.
 
     :param settings: of the process.
@@ -98,16 +98,16 @@
             )
         )
 
-    def bounds(self) -> incoming.Bounds:
+    def bounds(self) -> http_server.Bounds:
         """Return what callers may send, by the configuration in force."""
         limits = self.routing().limits
-        return incoming.Bounds(
+        return http_server.Bounds(
             limits.max_header_bytes,
             limits.header_timeout_ms / MS,
             limits.idle_timeout_ms / MS,
         )
 
-    def may_run_ahead(self, request: incoming.Request) -> bool:
+    def may_pipeline(self, request: http_server.Request) -> bool:
         """Tell whether a request may run before those in front of it on its
         connection are answered.
 
@@ -116,11 +116,11 @@
         what carries long transfers: it would hold a slot for bytes that
         can't be sent yet.  A node that stops begins nothing new.
         """
-        if self.ends is not None or not self._bodiless(request):
+        if self.stop_deadline is not None or not self._bodiless(request):
             return False
         try:
-            place = caller.target(request)
-        except caller.Refused:
+            place = validation.read_target(request)
+        except validation.Refused:
             return False
         path = place.path.partition('?')[0]
         match = self.routing().match(place.host, path)
@@ -130,27 +130,29 @@
             and self._idempotent(match.route, request)
         )
 
-    def _bodiless(self, request: incoming.Request) -> bool:
-        return bodies.declared(request) == 0 and (
+    def _bodiless(self, request: http_server.Request) -> bool:
+        return bodies.declared_length(request) == 0 and (
             'Expect' not in request.headers
         )
 
     def _idempotent(
-        self, route: manifest.Route, request: incoming.Request
+        self, route: manifest.Route, request: http_server.Request
     ) -> bool:
         if route.idempotent is None:
-            return request.method not in caller.NON_IDEMPOTENT
+            return request.method not in validation.NON_IDEMPOTENT
         return route.idempotent
 
-    def _name(self, request: incoming.Request) -> str:
+    def _new_request_id(self, request: http_server.Request) -> str:
         """Return the caller's id of a request, or one of our own."""
         given = request.headers.get(self.names.request_id, '')
-        return given if ID.fullmatch(given) else super()._name(request)
+        return (
+            given if ID.fullmatch(given) else super()._new_request_id(request)
+        )
 
     async def _answer(
-        self, request: incoming.Request, exchange: exchanges.Exchange
+        self, request: http_server.Request, exchange: exchanges.Exchange
     ) -> None:
-        began = request.arrived
+        began = request.arrived_at
         await self.settling.wait(self._configured, math.inf)
         routing = self.routing()
         if routing.version != self.version:
@@ -158,14 +160,14 @@
         try:
             self._check_serving(routing, began)
             trip = await self._read(request, exchange, routing, began)
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             self._tell_rejected(request, exchange.id, refused)
             raise
         task = asyncio.current_task()
         self.tasks.add(task)
         try:
             await self._pass_on(trip, exchange, began)
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             outcome = codes.NOT_RUN
             self._tell(trip, outcome, began, refused.code, refused.detail)
             raise
@@ -210,21 +212,21 @@
     def _check_serving(self, routing: routings.Routing, now: float) -> None:
         """Refuse all while there is no configuration, and after a stop."""
         if routing.version == rows.NONE:
-            raise caller.Refused(codes.NOT_READY)
+            raise validation.Refused(codes.NOT_READY)
         if self.last_new is not None and now > self.last_new:
-            raise caller.Refused(codes.LEAVING)
+            raise validation.Refused(codes.LEAVING)
 
     # Reading
 
     async def _read(
         self,
-        request: incoming.Request,
+        request: http_server.Request,
         exchange: exchanges.Exchange,
         routing: routings.Routing,
         now: float,
     ) -> trips.Trip:
-        """Read a request; raises :class:`caller.Refused`."""
-        place = caller.target(request)
+        """Read a request; raises :class:`validation.Refused`."""
+        place = validation.read_target(request)
         match = routing.match(place.host, place.path.partition('?')[0])
         if match is None:
             raise self._no_route()
@@ -237,11 +239,11 @@
         service = service._replace(max_body=most)
         match = routings.Match(match.key, route, service)
         call = self._call(request, exchange, place, match, now)
-        length = bodies.declared(request)
+        length = bodies.declared_length(request)
         if length != 0 or 'Expect' in request.headers:
-            call = await self._take_body(request, call, exchange, length)
+            call = await self._read_body(request, call, exchange, length)
         credentials = request.headers.get('Authorization', '')
-        call = digests.named(call, place.host, credentials)
+        call = digests.with_digest(call, place.host, credentials)
         goal_s = route.goal_ms / MS if route.goal_ms else call.deadline - now
         parent = self.inner.parent(call.id)
         need = trips.Need(
@@ -259,16 +261,16 @@
 
     def _call(
         self,
-        request: incoming.Request,
+        request: http_server.Request,
         exchange: exchanges.Exchange,
-        place: caller.Target,
+        place: validation.RequestTarget,
         match: routings.Match,
         now: float,
     ) -> calls.Call:
         route = match.route
         idempotent = self._idempotent(route, request)
         most_ms = route.timeout_ms or match.service.timeout_ms
-        left_ms = caller.budget_ms(
+        left_ms = validation.read_timeout_ms(
             request.headers, match.service, self.names.deadline_ms
         )
         return calls.Call(
@@ -284,7 +286,9 @@
             self._head(request, place),
         )
 
-    def _head(self, request: incoming.Request, place: caller.Target) -> bytes:
+    def _head(
+        self, request: http_server.Request, place: validation.RequestTarget
+    ) -> bytes:
         """Return the request line and the headers that go on."""
         raw = [
             pair
@@ -294,7 +298,9 @@
         if place.authority:
             raw = [pair for pair in raw if pair[0].lower() != b'host']
             raw.append((b'Host', place.authority.encode()))
-        return headers.head(request.method, place.path, request.headers, raw)
+        return headers.request_head(
+            request.method, place.path, request.headers, raw
+        )
 
     # Answering
 
@@ -304,15 +310,15 @@
         answer = await self.relay.send(trip)
         why = ''
         if answer.rest is None:
-            exchange.whole(answer, codes.OK)
-            await exchange.drained()
+            exchange.write_answer(answer, codes.OK)
+            await exchange.wait_drained()
         else:
             why = await streaming.pass_on(answer.rest, answer, exchange)
         if why:
             exchange.keep_alive = False
-            self.meters.cut(trip.call.id, why)
+            self.meters.record_broken(trip.call.id, why)
         else:
-            self.meters.complete(clock.now() - began)
+            self.meters.record_complete(clock.now() - began)
         if trip.need.inner and answer.status >= 500:
             self.inner.failed(trip.call.id)
         code = codes.ANSWER_LOST if why else codes.OK
@@ -353,7 +359,10 @@
         )
 
     def _tell_rejected(
-        self, request: incoming.Request, name: str, refused: caller.Refused
+        self,
+        request: http_server.Request,
+        name: str,
+        refused: validation.Refused,
     ) -> None:
         self.recorder.tell(
             decisions.Rejected(
@@ -372,16 +381,16 @@
         )
 
     def _tell_left(
-        self, trip: trips.Trip, request: incoming.Request, began: float
+        self, trip: trips.Trip, request: http_server.Request, began: float
     ) -> None:
         total_ms = int((clock.now() - began) * MS)
-        closed_by = 'caller' if request.connection.left else 'node'
+        closed_by = 'caller' if request.connection.closed_by_caller else 'node'
         self.recorder.tell(
             decisions.Left(trip.call.id, trip.offers, total_ms, closed_by),
             decisions.TROUBLE,
         )
 
-    def _write_refusal(
+    def _write_error(
         self,
         exchange: exchanges.Exchange,
         code: codes.Code,
@@ -395,7 +404,7 @@
         and takes a 502 or 504 of one that was not run for a run.
         """
         status = _status(code, outcome)
-        exchange.refuse(code, outcome, detail, retry_after_s, status)
+        exchange.write_error(code, outcome, detail, retry_after_s, status)
 
 
 def _status(code: codes.Code, outcome: str) -> int:
--- a/carawaystair/gateway/handover.py
+++ b/carawaystair/gateway/handover.py
@@ -238,7 +238,7 @@
             attempt.leave()
             raise
         if answer.rest is None:
-            attempt.settle(clock.now())
+            attempt.release_connection(clock.now())
         return answer
 
     async def _head(
--- a/carawaystair/gateway/hops.py
+++ b/carawaystair/gateway/hops.py
@@ -20,7 +20,7 @@
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 HOP = 'Caraway-Hop'
 REPORT = b'caraway-report'
@@ -139,7 +139,7 @@
 
 
 def call(
-    hop: Hop, request: incoming.Request, body: bytes | None, deadline: float
+    hop: Hop, request: http_server.Request, body: bytes | None, deadline: float
 ) -> calls.Call:
     """Return a request that was handed over, as it goes on from here.
 
@@ -156,7 +156,7 @@
         '',
         request.method,
         request.raw_path,
-        headers.head(
+        headers.request_head(
             request.method,
             request.raw_path,
             request.headers,
@@ -166,7 +166,7 @@
     )
 
 
-def write(request: incoming.Request, data: bytes) -> None:
+def write(request: http_server.Request, data: bytes) -> None:
     """Write to the node that handed a request over.
 
     :raises ConnectionResetError: when it has gone.
--- a/carawaystair/gateway/known.py
+++ b/carawaystair/gateway/known.py
@@ -63,7 +63,7 @@
     def changed(self, upstream: interfaces.Upstream) -> None:
         """Take note of an upstream that changed."""
         target = self.targets.get(upstream.id)
-        if target is not None and not targets.former(target, upstream):
+        if target is not None and not targets.is_outdated(target, upstream):
             self._update(target, upstream)
 
     def _update(
@@ -84,7 +84,7 @@
             self.board.forget(new.id)
             return
         if old.incarnation != new.incarnation:
-            target.seen = clock.now()
+            target.first_seen = clock.now()
             self.board.renew(new.id, new.incarnation)
         target.upstream = new
 
@@ -95,7 +95,7 @@
     def sweep(self, now: float) -> None:
         """Close connections that were idle for long."""
         for target in self.targets.values():
-            connections.sweep(target, now)
+            connections.close_stale(target, now)
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -176,5 +176,5 @@
             upstream.id,
             upstream.data_centre == self.data_centre,
             upstream.slots,
-            now - target.seen < upstream.warmup_s,
+            now - target.first_seen < upstream.warmup_s,
         )
--- a/carawaystair/gateway/lives.py
+++ b/carawaystair/gateway/lives.py
@@ -117,7 +117,7 @@
 
 def _opened_ms(connection: connections.Connection) -> float:
     """Return when a connection was opened, by the wall clock."""
-    return clock.wall_ms() - (clock.now() - connection.opened) * MS
+    return clock.wall_ms() - (clock.now() - connection.opened_at) * MS
 
 
 def upstream(name: str, said: registries.Announcement) -> interfaces.Upstream:
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -93,7 +93,7 @@
     """Tell whether a connection can be made."""
     loop = asyncio.get_running_loop()
     try:
-        until = loop.time() + connections.CONNECT_S
+        until = loop.time() + connections.CONNECT_TIMEOUT_S
         connection = await connections.connect(target, until)
     except OSError:
         return False
--- a/carawaystair/gateway/relay.py
+++ b/carawaystair/gateway/relay.py
@@ -28,8 +28,8 @@
 from carawaystair.load import returning
 from carawaystair.load import valuing
 from carawaystair.request import answer as answers
-from carawaystair.request import caller
 from carawaystair.request import target as targets
+from carawaystair.request import validation
 
 # Gateways that are asked before a request stays at one of them.
 MOST_ASKED = 6
@@ -92,7 +92,7 @@
     async def send(self, trip: trips.Trip) -> answers.Answer:
         """Return the answer to a request.
 
-        :raises caller.Refused: when it was not run and will not be.
+        :raises validation.Refused: when it was not run and will not be.
         :raises answers.Failed: when it may have run.
         """
         if not self.quarantine.may_begin(trip.call.digest):
@@ -147,7 +147,7 @@
         digest = trip.call.digest
         if trip.crashing or self.quarantine.refuses(digest):
             return False
-        if trip.runs and not self.quarantine.may_repeat(digest):
+        if trip.runs and not self.quarantine.may_retry(digest):
             return False
         runs = trip.need.most_runs
         return trip.runs < runs and trip.sent < max(MOST_SENT, runs)
@@ -213,11 +213,13 @@
             trip.call.deadline,
         )
 
-    def _crashing(self, trip: trips.Trip) -> caller.Refused:
+    def _crashing(self, trip: trips.Trip) -> validation.Refused:
         """Return the refusal of a request that crashes upstreams."""
-        return caller.crashes(self.quarantine.standing(trip.call.digest))
+        return validation.crash_refusal(
+            self.quarantine.standing(trip.call.digest)
+        )
 
-    def _rejection(self, trip: trips.Trip) -> caller.Refused:
+    def _rejection(self, trip: trips.Trip) -> validation.Refused:
         """Return what the caller of a request that was not run is told."""
         reports = [
             declined.report
@@ -227,12 +229,12 @@
         backlog_s = min((r.wait_ms / MS for r in reports), default=0.0)
         after_s = returning.retry_after_s(backlog_s, self.rng)
         if not trip.declined:
-            return caller.Refused(codes.NO_UPSTREAM, '', after_s)
+            return validation.Refused(codes.NO_UPSTREAM, '', after_s)
         reasons = sorted({d.reason for _t, d in trip.declined.values()})
         full = rejecting.FULL in reasons
         code = codes.QUEUE_FULL if full else codes.DEADLINE_SHORT
         detail = 'least wait %.2f s, %s' % (backlog_s, ', '.join(reasons))
-        return caller.Refused(code, detail, after_s)
+        return validation.Refused(code, detail, after_s)
 
     # One gateway
 
@@ -337,7 +339,7 @@
         finally:
             view.mine -= 1
         bad = answer.status >= 500
-        self.board.sizes.add(trip.call.match.key, answers.size(answer))
+        self.board.sizes.add(trip.call.match.key, answers.body_size(answer))
         self.known.learn(trip.need.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
--- a/carawaystair/gateway/runs.py
+++ b/carawaystair/gateway/runs.py
@@ -224,5 +224,5 @@
     rest = task.result().rest
     if rest is not None and not rest.claimed:
         rest.claimed = True
-        rest.drop()
+        rest.abort()
         rest.release()
--- a/carawaystair/gateway/sends.py
+++ b/carawaystair/gateway/sends.py
@@ -20,7 +20,7 @@
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import target as targets
 from carawaystair import settings
 
@@ -92,11 +92,11 @@
         # Gives the slot back once a long answer has passed.
         self.release: typing.Callable[[], None] | None = None
 
-    def idle_s(self) -> float:
+    def max_idle_s(self) -> float:
         """Return how long the connection may have been idle, in seconds."""
-        return min(super().idle_s(), IDLE_S)
+        return min(super().max_idle_s(), IDLE_S)
 
-    def marks(self, left_ms: int) -> bytes:
+    def attempt_headers(self, left_ms: int) -> bytes:
         """Return what the upstream is told beside the caller's headers."""
         names = self.names
         lines = '%s: %s\r\n%s: %d\r\n%s: %s\r\n%s: %s\r\n' % (
@@ -111,7 +111,7 @@
         )
         return lines.encode()
 
-    def source(self) -> bodies.Source:
+    def streamed_body(self) -> bodies.Source:
         """Return the body that is not held here."""
         return self.body_source
 
@@ -126,7 +126,7 @@
             proto = self.connection.proto
             message, payload = await proto.head(until)
             if message.code < 200:
-                self.interim(message)
+                self.check_interim(message)
                 continue
             named = message.headers.get(self.names.request_id)
             if named in (None, self.call.id):
@@ -194,13 +194,13 @@
 
     async def connect(self) -> None:
         """Get a connection; raises :class:`answers.Failed`."""
-        self.connect_s = max(self.connect_s, self.sign_s)
+        self.connect_timeout_s = max(self.connect_timeout_s, self.sign_s)
         await super().connect()
         transport = self.connection.proto.transport
         if transport is not None and not self.connection.uses:
-            incoming.notice_silence(transport, SILENCE_S)
+            http_server.set_user_timeout(transport, SILENCE_S)
 
-    def marks(self, left_ms: int) -> bytes:
+    def attempt_headers(self, left_ms: int) -> bytes:
         """Return the hop as it is in this moment."""
         if self.gateway_clock is None:
             return hops.line(self.hop)
@@ -225,7 +225,7 @@
         body, proto = self.call.body, self.connection.proto
         way = self._way()
         if body is None:
-            self.pump = pacers.Pump(self.source(), proto, way)
+            self.pump = pacers.Pump(self.streamed_body(), proto, way)
         elif way is pacers.FREE:
             proto.transport.write(body)
             return
@@ -256,14 +256,14 @@
         """Tell whether nothing more can come on its connection."""
         return self.connection.proto.error is not None
 
-    def settle(self, now: float) -> None:
+    def release_connection(self, now: float) -> None:
         """Let the connection go on, if all that its head says was sent."""
         if self.proceeds:
-            super().settle(now)
+            super().release_connection(now)
         else:
             self.connection.proto.abort()
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Tell whether the upstream takes no new work any more.
 
         A host whose own upstream leaves can still pass requests on, and what
@@ -271,7 +271,7 @@
         """
         if self.helper or self.hop.again:
             return False
-        return super().leaving()
+        return super().is_leaving()
 
     async def sign(self, until: float) -> bool:
         """Wait for the next sign of life; tell whether it is the answer.
@@ -281,7 +281,7 @@
         proto = self.connection.proto
         message, payload = await proto.head(until)
         if message.code < 200:
-            self.interim(message)
+            self.check_interim(message)
             if message.code == CONTINUE:
                 self.proceed()
             self.accepted = True
@@ -306,7 +306,7 @@
         if self.connection is None:
             return
         transport = self.connection.proto.transport
-        if connections.part(self.connection) is not None:
+        if connections.half_close(self.connection) is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(PART_S, transport.abort)
 
@@ -323,7 +323,7 @@
             raw = transport.get_extra_info('socket')
             if raw is not None:
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        self.drop()
+        self.abort()
 
 
 async def answer_of(attempt: attempts.Attempt, until: float) -> answers.Answer:
@@ -336,13 +336,13 @@
         attempt.send()
         answer = await attempt.answer(until)
     except TimeoutError:
-        attempt.drop()
+        attempt.abort()
         raise answers.Failed(
             interfaces.TIMEOUT, codes.ANSWER_LATE, attempt.sent
         ) from None
     except BaseException:
-        attempt.drop()
+        attempt.abort()
         raise
     if answer.rest is None:
-        attempt.settle(clock.now())
+        attempt.release_connection(clock.now())
     return answer
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -25,7 +25,7 @@
 from carawaystair.load import retrying
 from carawaystair import metrics
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters as meters_module
 
@@ -125,7 +125,7 @@
         self.door = doors.Door(self.work, self.figures, recorder, self.pacer)
         self.recorder = recorder
         self.callers = listeners.Listener(
-            self.front.handle, self.front.bounds, self.front.may_run_ahead
+            self.front.handle, self.front.bounds, self.front.may_pipeline
         )
         self.nodes = listeners.Listener(self.door.handle, _node_bounds)
         self.stopping = False
@@ -202,7 +202,7 @@
     async def _sweep(self) -> None:
         """Close connections that were idle too long."""
         while not self.should_stop:
-            await self.sleep(connections.SWEEP_S)
+            await self.sleep(connections.SWEEP_INTERVAL_S)
             now = clock.now()
             self.known.sweep(now)
             self.work.sweep(now)
@@ -218,7 +218,7 @@
         node = self.settings.node
         now = clock.now()
         ends = now + max(node.drain_s - STOP_SLACK_S, 0.0)
-        self.front.ends = ends
+        self.front.stop_deadline = ends
         self.front.last_new = min(now + node.lame_duck_s, ends)
         self.membership.registry.close()
         self.work.close()
@@ -247,12 +247,12 @@
             self.front.active
             or self.door.active
             or self.door.runs.orphans
-            or any(listener.sending for listener in listeners)
+            or any(listener.has_unsent_data for listener in listeners)
         )
 
 
-def _node_bounds() -> incoming.Bounds:
+def _node_bounds() -> http_server.Bounds:
     """Return what other nodes may send: heads as long as callers' and ours,
     and no connection that has gone silent.
     """
-    return incoming.Bounds(MOST_HEAD_BYTES, silence_s=sends.SILENCE_S)
+    return http_server.Bounds(MOST_HEAD_BYTES, ack_timeout_s=sends.SILENCE_S)
--- a/carawaystair/gateway/streaming.py
+++ b/carawaystair/gateway/streaming.py
@@ -36,10 +36,10 @@
     :param extra: header lines to add.
     :param way: the way to the caller.
     """
-    data = exchange.packed(answer, codes.OK, extra)
+    data = exchange.encode_answer(answer, codes.OK, extra)
     async for piece in way.pieces(data):
         exchange.write(piece)
-        await exchange.drained()
+        await exchange.wait_drained()
 
 
 async def pass_on(
@@ -60,8 +60,10 @@
     whole = False
     try:
         # Held back, a long answer would take memory without a bound.
-        await exchange.request.at_turn()
-        exchange.begin(answer, None if length is None else int(length), extra)
+        await exchange.request.wait_turn()
+        exchange.begin_answer(
+            answer, None if length is None else int(length), extra
+        )
         writer = exchange.request.writer
         await _write(answer.body, exchange, way)
         payload = attempt.payload
@@ -74,13 +76,13 @@
         whole = True
         return ''
     except BROKEN as error:
-        exchange.cut()
+        exchange.abort()
         return '%s: %s' % (codes.ANSWER_LOST.label, error)
     finally:
         if whole:
-            attempt.settle(clock.now())
+            attempt.release_connection(clock.now())
         else:
-            attempt.drop()
+            attempt.abort()
 
 
 async def _write(
@@ -88,4 +90,4 @@
 ) -> None:
     async for piece in way.pieces(data):
         await exchange.request.writer.write(piece, drain=False)
-        await exchange.drained()
+        await exchange.wait_drained()
--- a/carawaystair/gateway/work.py
+++ b/carawaystair/gateway/work.py
@@ -20,14 +20,14 @@
 from carawaystair.load import waiting
 from carawaystair import logs
 from carawaystair.membership import registry as registries
-from carawaystair.quarantine import crashes as crashes_module
+from carawaystair.quarantine import crash_detection
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import connections
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
+from carawaystair.request import validation
 from carawaystair import settings as settings_module
 
 # Statuses that promise that a request was not run.  An upstream that says so
@@ -80,7 +80,7 @@
         self.inner = inner
         self.figures = figures
         self.quarantine = quarantine
-        self.crashes = crashes_module.Crashes(quarantine)
+        self.crashes = crash_detection.CrashDetector(quarantine)
         self.recorder = recorder
         # Nodes have the share of their own first sends; here is the slack.
         self.budgets = retrying.Budgets(
@@ -167,11 +167,11 @@
             why,
             line.running,
             len(line.waiting),
-            len(life.target.idle),
+            len(life.target.idle_connections),
         )
         self.recorder.tell(event, decisions.BELIEF)
         del self.lives[name]
-        self.crashes.ended(life.target, why == 'left')
+        self.crashes.incarnation_ended(life.target, why == 'left')
         life.end()
 
     def close(self) -> None:
@@ -183,14 +183,14 @@
     def sweep(self, now: float) -> None:
         """Close connections to upstreams that were idle too long."""
         for life in self.lives.values():
-            connections.sweep(life.target, now)
+            connections.close_stale(life.target, now)
 
     # One request
 
     async def run(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         take: typing.Callable[[], typing.Awaitable[Body]],
     ) -> answers.Answer:
         """Give a request a slot and send it to its upstream.
@@ -285,7 +285,7 @@
         """
         try:
             body = await take()
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             slots.free(hop.key)
             raise slots_module.Refused(
                 hops.UNREACHABLE, refused.detail
@@ -427,7 +427,7 @@
                     hops.UNREACHABLE, failed.detail
                 ) from None
             if outcome == interfaces.BROKEN:
-                self.crashes.broke(life.target, hop.digest, hop.id)
+                self.crashes.connection_broke(life.target, hop.digest, hop.id)
             raise
         finally:
             evidence.stop()
@@ -458,14 +458,14 @@
     ) -> None:
         """Take note of a long answer that is passed on no more."""
         if attempt.payload.exception() is not None:
-            self.crashes.broke(life.target, hop.digest, hop.id)
+            self.crashes.connection_broke(life.target, hop.digest, hop.id)
         elif attempt.payload.is_eof():
             self._ended_well(hop, life)
 
     def _ended_well(self, hop: hops.Hop, life: lives_module.Life) -> None:
         """Take note of a good answer that came whole."""
-        life.target.proven = True
-        self.quarantine.ended_well(hop.digest)
+        life.target.has_served = True
+        self.quarantine.record_success(hop.digest)
 
     def _outcome(self, answer: answers.Answer) -> str:
         """Return what an answer shows of its upstream."""
@@ -547,4 +547,4 @@
 
 def _drop(answer: answers.Answer) -> None:
     if answer.rest is not None:
-        answer.rest.drop()
+        answer.rest.abort()
--- a/carawaystair/interfaces.py
+++ b/carawaystair/interfaces.py
@@ -296,22 +296,22 @@
     def may_begin(self, digest: str) -> bool:
         """Tell whether a request of this host's callers may be sent on."""
 
-    def may_repeat(self, digest: str) -> bool:
+    def may_retry(self, digest: str) -> bool:
         """Tell whether a request that failed may reach another upstream."""
 
-    def ended_well(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Take note that a request was answered well."""
 
-    def crashed(
+    def record_crash(
         self,
-        life: str,
+        incarnation: str,
         requests: typing.Mapping[str, str],
         proven: bool,
         how: str,
     ) -> None:
         """Take note that an upstream crashed.
 
-        :param life: names the upstream and its start.
+        :param incarnation: names the upstream and its start.
         :param requests: ids of what it was running, by digest.
         :param proven: whether it had served anything since its start.
         :param how: what shows that it crashed.
--- a/carawaystair/quarantine/crashes.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -13,13 +13,13 @@
 from carawaystair.request import target as targets
 
 # Runs that break within this time of each other belong to one crash, seconds.
-TOGETHER_S = 0.5
+GROUPING_S = 0.5
 # A new connection is tried so long after the first one broke, seconds: its
 # process may take a moment to end.
-TRIES_S = (0.0, 0.3)
+PROBE_DELAYS_S = (0.0, 0.3)
 # Without a refused connection, another start of the upstream within this time
 # shows the crash as well, seconds; it takes the lease of the former one.
-PENDING_S = 8.0
+CONFIRM_TIMEOUT_S = 8.0
 
 REFUSED = 'it refuses connections'
 FOLLOWED = 'it started anew or fell silent'
@@ -34,14 +34,14 @@
 
     def __init__(self, target: targets.Target, now: float) -> None:
         self.target = target
-        self.life = life(target.upstream)
+        self.life = incarnation_id(target.upstream)
         self.at = now
         # Ids of the requests by digest.
         self.requests: dict[str, str] = {}
         self.task: asyncio.Task | None = None
 
 
-class Crashes:
+class CrashDetector:
     """Watches the runs that break; one for each process.
 
     :param quarantine: is told of crashes.
@@ -52,7 +52,9 @@
         # The newest break of each upstream.
         self.breaks: dict[str, Break] = {}
 
-    def broke(self, target: targets.Target, digest: str, request: str) -> None:
+    def connection_broke(
+        self, target: targets.Target, digest: str, request: str
+    ) -> None:
         """Take note that a connection broke with a request on it.
 
         :param digest: names what the request asks for.
@@ -66,15 +68,15 @@
         found = self.breaks.get(name)
         if (
             found is None
-            or found.life != life(target.upstream)
-            or now - found.at > TOGETHER_S
+            or found.life != incarnation_id(target.upstream)
+            or now - found.at > GROUPING_S
         ):
             self._drop(name)
             found = self.breaks[name] = Break(target, now)
             found.task = asyncio.ensure_future(self._try(found))
         found.requests[digest] = request
 
-    def ended(self, target: targets.Target, left: bool) -> None:
+    def incarnation_ended(self, target: targets.Target, left: bool) -> None:
         """Take note that a life is over.
 
         :param left: whether the upstream has said so itself.
@@ -82,14 +84,14 @@
         found = self.breaks.get(target.upstream.id)
         if found is None or found.target is not target:
             return
-        if left or clock.now() - found.at > PENDING_S:
+        if left or clock.now() - found.at > CONFIRM_TIMEOUT_S:
             self._drop(target.upstream.id)
         else:
             self._confirm(found, FOLLOWED)
 
     async def _try(self, found: Break) -> None:
         """Find out whether an upstream still takes connections."""
-        for pause_s in TRIES_S:
+        for pause_s in PROBE_DELAYS_S:
             await asyncio.sleep(pause_s)
             if await _refuses(found.target):
                 # What broke in the same moment is told by now.
@@ -101,7 +103,9 @@
         if self.breaks.get(target.upstream.id) is not found:
             return
         self._drop(target.upstream.id)
-        self.quarantine.crashed(found.life, found.requests, target.proven, how)
+        self.quarantine.record_crash(
+            found.life, found.requests, target.has_served, how
+        )
 
     def _drop(self, name: str) -> None:
         found = self.breaks.pop(name, None)
@@ -109,14 +113,14 @@
             found.task.cancel()
 
 
-def life(upstream: interfaces.Upstream) -> str:
+def incarnation_id(upstream: interfaces.Upstream) -> str:
     """Return what names an upstream and its start in the whole fleet."""
     return '%s/%d' % (upstream.id, upstream.incarnation)
 
 
 async def _refuses(target: targets.Target) -> bool:
     """Tell whether an upstream refuses a new connection."""
-    until = clock.now() + connections.CONNECT_S
+    until = clock.now() + connections.CONNECT_TIMEOUT_S
     try:
         connection = await connections.connect(target, until)
     except ConnectionRefusedError:
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -13,7 +13,7 @@
 from carawaystair.load import crashing
 from carawaystair import localapi
 from carawaystair import metrics
-from carawaystair.quarantine import spread
+from carawaystair.quarantine import dissemination
 from carawaystair import rendezvous
 from carawaystair import settings
 
@@ -71,7 +71,7 @@
         self.recorder = recorder
         # When this process last let a request run on trial.
         self.trials: dict[str, float] = {}
-        self.spread = spread.Spread(members, transport, self)
+        self.spread = dissemination.Spread(members, transport, self)
         # Requests that are refused now.
         self.refused: set[str] = set()
         self.counts: collections.Counter = collections.Counter()
@@ -117,7 +117,7 @@
         self.trials[digest] = now
         return True
 
-    def may_repeat(self, digest: str) -> bool:
+    def may_retry(self, digest: str) -> bool:
         """Tell whether a request that failed may reach another upstream."""
         crashes = self.suspects.standing(digest, clock.now()).crashes
         return crashes < self.suspects.limit - 1
@@ -128,29 +128,29 @@
         ranked = rendezvous.rank(digest, nodes)
         return bool(ranked) and ranked[0].host == self.members.me.host
 
-    def crashed(
+    def record_crash(
         self,
-        life: str,
+        incarnation: str,
         requests: typing.Mapping[str, str],
         proven: bool,
         how: str,
     ) -> None:
         """Take note that an upstream of this host crashed.
 
-        :param life: names the upstream and its start.
+        :param incarnation: names the upstream and its start.
         :param requests: ids of what it was running, by digest.
         :param proven: whether it had served anything since its start.
         :param how: what shows that it crashed.
         """
         self.counts['crashes'] += 1
-        facts = self.suspects.crashed(life, requests, proven)
+        facts = self.suspects.crashed(incarnation, requests, proven)
         self._learn(facts, HERE)
         for fact in facts:
             standing = self.standing(fact.digest)
             event = decisions.Suspected(
                 fact.request,
                 fact.digest,
-                life,
+                incarnation,
                 how,
                 proven,
                 len(requests) - 1,
@@ -160,7 +160,7 @@
             )
             self.recorder.tell(event, decisions.TROUBLE)
 
-    def ended_well(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Take note that a request was answered well."""
         if digest:
             facts = self.suspects.ended_well(digest, clock.now())
@@ -184,7 +184,7 @@
     # What other processes tell
 
     def known(
-        self, keys: typing.Collection[spread.Key]
+        self, keys: typing.Collection[dissemination.Key]
     ) -> list[crashing.Fact]:
         """Return facts that are still known."""
         now = clock.now()
--- a/carawaystair/request/answer.py
+++ b/carawaystair/request/answer.py
@@ -8,7 +8,7 @@
 from carawaystair.request import headers
 
 # Statuses and a method that never have a body (RFC 9110 6.4.1).
-BODILESS = frozenset((204, 304))
+BODILESS_STATUSES = frozenset((204, 304))
 
 
 class Answer(typing.NamedTuple):
@@ -50,7 +50,7 @@
         self.detail = detail
 
 
-def size(answer: Answer) -> int:
+def body_size(answer: Answer) -> int:
     """Return the bytes of an answer's body, as far as they are known."""
     if answer.rest is None:
         return len(answer.body)
@@ -58,12 +58,12 @@
     return int(length) if length is not None else len(answer.body)
 
 
-def bodiless(message: http.RawResponseMessage, method: str) -> bool:
+def has_no_body(message: http.RawResponseMessage, method: str) -> bool:
     """Tell whether an answer has no body whatever its headers say."""
-    return method == 'HEAD' or message.code in BODILESS
+    return method == 'HEAD' or message.code in BODILESS_STATUSES
 
 
-def declared(message: http.RawResponseMessage) -> int | None:
+def declared_length(message: http.RawResponseMessage) -> int | None:
     """Return the length that an answer declares, None for chunks.
 
     :raises ValueError: when the answer does not tell where it ends, or
@@ -80,7 +80,7 @@
     return int(length)
 
 
-def refused(answer: Answer) -> bool:
+def is_refusal(answer: Answer) -> bool:
     """Tell whether an upstream says that it refused before running."""
     return (
         answer.status == 503
--- a/carawaystair/request/attempt.py
+++ b/carawaystair/request/attempt.py
@@ -33,12 +33,12 @@
     """
 
     __slots__ = (
-        'alarm',
+        'suspicion_timer',
         'call',
         'chunks',
-        'connect_s',
+        'connect_timeout_s',
         'connection',
-        'ended',
+        'recorded',
         'extra',
         'fresh',
         'message',
@@ -64,7 +64,7 @@
         self.connection: connections.Connection | None = None
         # Rings when the connection is to be doubted; set once the answer
         # is late.
-        self.alarm: asyncio.TimerHandle | None = None
+        self.suspicion_timer: asyncio.TimerHandle | None = None
         self.message = None
         self.payload = None
         self.pump: bodies.Pump | None = None
@@ -73,10 +73,10 @@
         # True from the moment before the first byte goes out.
         self.sent = False
         # True once its end was recorded as evidence.
-        self.ended = False
+        self.recorded = False
         self.started = clock.now()
         # How long opening a connection may take, seconds.
-        self.connect_s = connections.CONNECT_S
+        self.connect_timeout_s = connections.CONNECT_TIMEOUT_S
 
     # Sending
 
@@ -84,14 +84,18 @@
         """Get a connection; raises :class:`answers.Failed`."""
         now = self.started
         if not self.fresh:
-            self.connection = connections.take(self.target, self.idle_s(), now)
+            self.connection = connections.acquire(
+                self.target, self.max_idle_s(), now
+            )
         if self.connection is not None:
-            self.fresh = now - self.connection.used <= connections.LIVE_S
+            self.fresh = (
+                now - self.connection.last_used <= connections.RECENT_USE_S
+            )
         else:
             self.fresh = True
             try:
                 self.connection = await connections.connect(
-                    self.target, self.call.deadline, self.connect_s
+                    self.target, self.call.deadline, self.connect_timeout_s
                 )
             except OSError as error:
                 # TimeoutError is one, too.
@@ -103,10 +107,10 @@
                 ) from None
         self.connection.owner = self
 
-    def idle_s(self) -> float:
+    def max_idle_s(self) -> float:
         """Return how long the connection may have been idle, in seconds."""
         again = self.call.idempotent
-        return connections.IDLE_S if again else connections.LIVE_S
+        return connections.MAX_IDLE_S if again else connections.RECENT_USE_S
 
     def send(self) -> None:
         """Send the request; raises :class:`answers.Failed`."""
@@ -116,17 +120,21 @@
             raise answers.Failed(
                 interfaces.CANCELLED, codes.DEADLINE_EXPIRED, False
             )
-        if self.leaving():
+        if self.is_leaving():
             # It began to leave while the connection was made.
             raise answers.Failed(
                 interfaces.CANCELLED, codes.UPSTREAM_REFUSED, False, 'leaving'
             )
         proto = self.connection.proto
         proto.expect(call.method == 'HEAD')
-        head = b'%b%b%b' % (call.head, self.extra, self.marks(left_ms))
+        head = b'%b%b%b' % (
+            call.head,
+            self.extra,
+            self.attempt_headers(left_ms),
+        )
         if not proto.open:
             raise answers.Failed(
-                interfaces.CANCELLED, codes.CONNECT_FAILED, False, 'ended'
+                interfaces.CANCELLED, codes.CONNECT_FAILED, False, 'recorded'
             )
         self.sent = True
         self.write(head)
@@ -138,7 +146,9 @@
         """
         call, transport = self.call, self.connection.proto.transport
         if call.body is None:
-            self.pump = bodies.Pump(self.source(), self.connection.proto)
+            self.pump = bodies.Pump(
+                self.streamed_body(), self.connection.proto
+            )
             transport.write(head + self.pump.framing())
             self.pump.start()
         elif call.body or call.method not in bodies.BODILESS_METHODS:
@@ -146,11 +156,11 @@
         else:
             transport.write(head + b'\r\n')
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Tell whether the upstream takes no new work any more."""
         return self.target.upstream.state != interfaces.UP
 
-    def marks(self, left_ms: int) -> bytes:
+    def attempt_headers(self, left_ms: int) -> bytes:
         """Return the header lines that change with every attempt.
 
         :param left_ms: time that is left for the request, ms.
@@ -160,13 +170,13 @@
             left_ms,
         )
 
-    def source(self) -> bodies.Source:
+    def streamed_body(self) -> bodies.Source:
         """Return the body, where it is not held here."""
         return bodies.source(self.call)
 
     # The end
 
-    def settle(self, now: float) -> None:
+    def release_connection(self, now: float) -> None:
         """Let the connection of an answer that was read whole go on."""
         if self.pump is not None and not self.pump.done:
             # The answer came before the body was taken: what is left of the
@@ -174,9 +184,9 @@
             self.pump.task.cancel()
             self.connection.proto.abort()
         else:
-            connections.give(self.connection, now)
+            connections.release(self.connection, now)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close the connection, doubtful or not."""
         if self.pump is not None and self.pump.task is not None:
             self.pump.task.cancel()
@@ -221,19 +231,19 @@
         proto = self.connection.proto
         message, payload = await proto.head(until)
         while message.code < 200:
-            self.interim(message)
+            self.check_interim(message)
             message, payload = await proto.head(until)
-        self.check_own(message)
+        self.check_request_id(message)
         self.message = message
         self.payload = payload
 
-    def interim(self, message) -> None:
+    def check_interim(self, message) -> None:
         """Take note of an answer that only precedes the real one."""
         if message.code == 101:
             # Nobody asked for another protocol.
             raise self._failure(codes.ANSWER_MALFORMED, 'unasked 101')
 
-    def check_own(self, message) -> None:
+    def check_request_id(self, message) -> None:
         """Make sure that an answer belongs to this request.
 
         The upstream may have mixed up its answers, or answers late to a
@@ -246,7 +256,7 @@
 
     async def _body(self) -> answers.Answer:
         message = self.message
-        if answers.bodiless(message, self.call.method):
+        if answers.has_no_body(message, self.call.method):
             return self._made(b'')
         length = self.length(message)
         if length is not None and length > HOLD_BYTES:
@@ -263,7 +273,7 @@
     def length(self, message) -> int | None:
         """Return the declared length of an answer, None where it has none."""
         try:
-            return answers.declared(message)
+            return answers.declared_length(message)
         except ValueError as error:
             both = message.chunked
             code = codes.ANSWER_MALFORMED if both else codes.ANSWER_UNBOUNDED
@@ -279,7 +289,7 @@
             message.code,
             message.reason,
             message.raw_headers,
-            headers.connection(message.headers),
+            headers.connection_value(message.headers),
             body,
             rest,
         )
--- a/carawaystair/request/handling.py
+++ b/carawaystair/request/base_handler.py
@@ -9,20 +9,20 @@
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import meters as meters_module
+from carawaystair.request import validation
 from carawaystair import routing as routings
 
 LOG = logs.get('request')
 
 # A node that is behind the configuration has caught up within this time, as
 # a rule: the median of 128 nodes during a storm of changes (exp_storms).
-SOON_S = 0.6
+CATCH_UP_S = 0.6
 
 
-class Handling:
+class BaseHandler:
     """Takes requests, and answers what can't be served.
 
     :param prefix: begins the ids of requests, other at every start.
@@ -43,27 +43,27 @@
         meters: meters_module.Meters,
     ) -> None:
         self.prefix = prefix
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
         # Without a drain, a stop cuts off whatever there is.
-        self.longest_s = drain_s or math.inf
+        self.max_duration_s = drain_s or math.inf
         self.routing = routing
         self.behind_s = behind_s
         self.meters = meters
-        self.held = bodies.Held()
+        self.keyed_bodies = bodies.KeyedBodies()
         self.active = 0
         # While the node stops: the time by which everything must be over.
-        self.ends: float | None = None
+        self.stop_deadline: float | None = None
 
-    async def handle(self, request: incoming.Request) -> bool:
+    async def handle(self, request: http_server.Request) -> bool:
         """Answer one request; return whether another may follow."""
-        exchange = exchanges.Exchange(request, self._name(request))
-        if self.ends is not None:
+        exchange = exchanges.Exchange(request, self._new_request_id(request))
+        if self.stop_deadline is not None:
             exchange.keep_alive = False
         self.active += 1
         try:
             await self._answer(request, exchange)
-        except caller.Refused as refused:
-            self._refuse(
+        except validation.Refused as refused:
+            self._answer_error(
                 exchange,
                 refused.code,
                 codes.NOT_RUN,
@@ -72,20 +72,20 @@
             )
         except answers.Failed as failed:
             outcome = codes.UNKNOWN if failed.sent else codes.NOT_RUN
-            self._refuse(exchange, failed.code, outcome, failed.detail)
+            self._answer_error(exchange, failed.code, outcome, failed.detail)
         except ConnectionError as error:
             exchange.keep_alive = False
             # That of another connection tells nothing of this caller, who
             # would hear nothing.
             if request.connection.open:
-                self._defect(exchange, error)
+                self._answer_internal_error(exchange, error)
         except Exception as error:
-            self._defect(exchange, error)
+            self._answer_internal_error(exchange, error)
         finally:
             self.active -= 1
         return exchange.keep_alive
 
-    def _no_route(self) -> caller.Refused:
+    def _no_route(self) -> validation.Refused:
         """Return the refusal of a request that no route matches.
 
         A node that knows of a newer configuration can't say that there is no
@@ -93,59 +93,66 @@
         a 404; after the other refusal they do, and find the route.
         """
         if not self.behind_s():
-            return caller.Refused(codes.NO_ROUTE)
-        return caller.Refused(codes.CONFIG_BEHIND, retry_after_s=SOON_S)
+            return validation.Refused(codes.NO_ROUTE)
+        return validation.Refused(
+            codes.CONFIG_BEHIND, retry_after_s=CATCH_UP_S
+        )
 
-    def _name(self, request: incoming.Request) -> str:
+    def _new_request_id(self, request: http_server.Request) -> str:
         """Return the id of a request."""
-        return '%s-%x' % (self.prefix, next(self.numbers))
+        return '%s-%x' % (self.prefix, next(self.request_numbers))
 
     async def _answer(
-        self, request: incoming.Request, exchange: exchanges.Exchange
+        self, request: http_server.Request, exchange: exchanges.Exchange
     ) -> None:
         """Answer a request that was read; raises what it is refused for."""
         raise NotImplementedError
 
     def _check_stopping(self, call: calls.Call) -> None:
         """Refuse what might have to be cut when the node is gone."""
-        if call.bulk or call.deadline > self.ends:
-            raise caller.Refused(codes.LEAVING)
+        if call.bulk or call.deadline > self.stop_deadline:
+            raise validation.Refused(codes.LEAVING)
 
     # The body of the request
 
-    async def _take_body(
+    async def _read_body(
         self,
-        request: incoming.Request,
+        request: http_server.Request,
         call: calls.Call,
         exchange: exchanges.Exchange,
         length: int | None,
     ) -> calls.Call:
         """Return the request with its body, or with the way to read it."""
         limit = call.match.service.max_body
-        bodies.check(length, limit)
-        if bodies.expectation(request):
-            exchange.proceed()
+        bodies.check_length(length, limit)
+        if bodies.expects_continue(request):
+            exchange.send_continue()
         content = request.content
         if call.key:
-            body = await self.held.hold(content, length, limit, call.deadline)
+            body = await self.keyed_bodies.hold(
+                content, length, limit, call.deadline
+            )
             return call._replace(body=body)
-        if length is not None and length > bodies.HOLD_BYTES:
+        if length is not None and length > bodies.MAX_BUFFERED_BYTES:
             first = await bodies.read(
-                content, bodies.FIRST_BYTES, limit, call.deadline
+                content, bodies.PREFIX_BYTES, limit, call.deadline
             )
             return call._replace(
-                body=None, stream=content, length=length, begun=first.data
+                body=None,
+                stream=content,
+                length=length,
+                body_prefix=first.data,
             )
-        begun = await bodies.begin(content, limit, call.deadline)
-        if begun.whole and len(begun.data) <= bodies.HOLD_BYTES:
+        begun = await bodies.read_start(content, limit, call.deadline)
+        if begun.whole and len(begun.data) <= bodies.MAX_BUFFERED_BYTES:
             return call._replace(body=begun.data)
         return call._replace(
-            body=None, stream=content, length=None, begun=begun.data
+            body=None, stream=content, length=None, body_prefix=begun.data
         )
 
     # What goes wrong
 
-    def _refuse(
+    def _answer_error(
         self,
         exchange: exchanges.Exchange,
         code: codes.Code,
@@ -154,13 +161,13 @@
         retry_after_s: float = 1.0,
     ) -> None:
         """Answer with a failure of this node's own."""
-        self.meters.failed(outcome, code, exchange.id, detail)
+        self.meters.record_failed(outcome, code, exchange.id, detail)
         try:
-            self._write_refusal(exchange, code, outcome, detail, retry_after_s)
+            self._write_error(exchange, code, outcome, detail, retry_after_s)
         except ConnectionError:
             exchange.keep_alive = False
 
-    def _write_refusal(
+    def _write_error(
         self,
         exchange: exchanges.Exchange,
         code: codes.Code,
@@ -170,9 +177,11 @@
     ) -> None:
         # Callers read whole seconds.
         whole_s = float(max(int(retry_after_s), 1))
-        exchange.refuse(code, outcome, detail, whole_s)
+        exchange.write_error(code, outcome, detail, whole_s)
 
-    def _defect(self, exchange: exchanges.Exchange, error: Exception) -> None:
+    def _answer_internal_error(
+        self, exchange: exchanges.Exchange, error: Exception
+    ) -> None:
         """Answer although this program is at fault.
 
         The caller is promised nothing, and a half-written answer is broken.
@@ -180,6 +189,6 @@
         LOG.error('A request failed.', id=exchange.id, error=repr(error))
         if exchange.outcome is not None:
             exchange.keep_alive = False
-            exchange.cut()
+            exchange.abort()
             return
-        self._refuse(exchange, codes.INVARIANT_BROKEN, codes.UNKNOWN, '')
+        self._answer_error(exchange, codes.INVARIANT_BROKEN, codes.UNKNOWN, '')
--- a/carawaystair/request/body.py
+++ b/carawaystair/request/body.py
@@ -8,25 +8,25 @@
 
 from carawaystair import codes
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import errors
-from carawaystair.request import incoming
+from carawaystair.request import http_server
+from carawaystair.request import validation
 
 # Bodies up to this length are held before anything is sent: a slow caller
 # then takes up no upstream, and the request can be tried again.
-HOLD_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024
 # Of longer ones so much is read first, which tells them apart.
-FIRST_BYTES = 16 * 1024
+PREFIX_BYTES = 16 * 1024
 # Bodies of keyed requests are held whole, because the key stands for what
 # the body says; all of them together may take this much memory.
-KEYED_BYTES = 64 * 1024 * 1024
+MAX_KEYED_BYTES = 64 * 1024 * 1024
 # Methods that get no Content-Length: 0 when there is no body.
 BODILESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
 
-MALFORMED = (errors.BodyError, ConnectionError)
+BODY_ERRORS = (errors.BodyError, ConnectionError)
 
 
-class Begun(typing.NamedTuple):
+class PartialBody(typing.NamedTuple):
     """A body as far as it was read.
 
     :param data: its bytes.
@@ -37,7 +37,7 @@
     whole: bool
 
 
-class Held:
+class KeyedBodies:
     """Holds whole the bodies of keyed requests, in bounded memory."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         limit: int,
         deadline: float,
     ) -> bytes:
-        """Read a body whole; raises :class:`caller.Refused`.
+        """Read a body whole; raises :class:`validation.Refused`.
 
         :param length: its length, None when it comes in chunks.
         :param limit: bytes at most.
@@ -58,8 +58,8 @@
         # What a body in chunks will need is not known: it must fit whatever
         # it turns out to be.
         most = limit if length is None else length
-        if self.bytes + most > KEYED_BYTES:
-            raise caller.Refused(codes.MEMORY_FULL)
+        if self.bytes + most > MAX_KEYED_BYTES:
+            raise validation.Refused(codes.MEMORY_FULL)
         self.bytes += most
         try:
             body = await read(content, limit, limit, deadline)
@@ -73,7 +73,7 @@
         self.bytes -= len(body)
 
 
-def declared(request: incoming.Request) -> int | None:
+def declared_length(request: http_server.Request) -> int | None:
     """Return the length of a request's body, None when it is in chunks."""
     length = request.headers.get('Content-Length')
     if length is not None:
@@ -81,38 +81,38 @@
     return None if 'Transfer-Encoding' in request.headers else 0
 
 
-def check(length: int | None, limit: int) -> None:
+def check_length(length: int | None, limit: int) -> None:
     """Refuse a body that declares to be longer than its service allows."""
     if length is not None and length > limit:
-        raise caller.Refused(codes.BODY_TOO_LARGE, '%d bytes' % length)
+        raise validation.Refused(codes.BODY_TOO_LARGE, '%d bytes' % length)
 
 
-def expectation(request: incoming.Request) -> bool:
+def expects_continue(request: http_server.Request) -> bool:
     """Tell whether the caller waits for ``100 Continue``."""
     value = request.headers.get('Expect')
     if value is None:
         return False
     if value.lower() != '100-continue':
-        raise caller.Refused(codes.EXPECTATION_UNKNOWN)
+        raise validation.Refused(codes.EXPECTATION_UNKNOWN)
     return request.version >= http.HttpVersion11
 
 
-async def begin(
+async def read_start(
     content: streams.StreamReader, limit: int, deadline: float
-) -> Begun:
+) -> PartialBody:
     """Read a body, or as much of a long one as is held."""
     if content.is_eof():
         data = content.read_nowait(-1)
         if len(data) > limit:
-            raise caller.Refused(codes.BODY_TOO_LARGE)
-        return Begun(data, True)
-    return await read(content, HOLD_BYTES, limit, deadline)
+            raise validation.Refused(codes.BODY_TOO_LARGE)
+        return PartialBody(data, True)
+    return await read(content, MAX_BUFFERED_BYTES, limit, deadline)
 
 
 async def read(
     content: streams.StreamReader, enough: int, limit: int, deadline: float
-) -> Begun:
-    """Read a body; raises :class:`caller.Refused`.
+) -> PartialBody:
+    """Read a body; raises :class:`validation.Refused`.
 
     :param enough: stop when more bytes than this are here.
     :param limit: bytes at most.
@@ -126,12 +126,12 @@
                 chunks.append(await content.readany())
                 size += len(chunks[-1])
                 if size > limit:
-                    raise caller.Refused(codes.BODY_TOO_LARGE)
+                    raise validation.Refused(codes.BODY_TOO_LARGE)
     except TimeoutError:
-        raise caller.Refused(codes.BODY_LATE) from None
-    except MALFORMED as error:
-        raise caller.Refused(codes.BODY_MALFORMED, str(error)) from None
-    return Begun(b''.join(chunks), content.at_eof())
+        raise validation.Refused(codes.BODY_LATE) from None
+    except BODY_ERRORS as error:
+        raise validation.Refused(codes.BODY_MALFORMED, str(error)) from None
+    return PartialBody(b''.join(chunks), content.at_eof())
 
 
 def framing(length: int | None) -> bytes:
@@ -149,20 +149,20 @@
 
     :param stream: where it is read from.
     :param length: its length, None when it comes in chunks.
-    :param begun: the part that was read already.
+    :param prefix: the part that was read already.
     :param limit: bytes at most.
     """
 
     stream: streams.StreamReader
     length: int | None
-    begun: bytes
+    prefix: bytes
     limit: int
 
 
 def source(call: calls.Call) -> Source:
     """Return the body of a request that is not held here."""
     limit = call.match.service.max_body
-    return Source(call.stream, call.length, call.begun, limit)
+    return Source(call.stream, call.length, call.body_prefix, limit)
 
 
 class Pump:
@@ -178,7 +178,7 @@
         self.writer = http.StreamWriter(proto, asyncio.get_running_loop())
         self.task: asyncio.Task | None = None
         # What went wrong on the caller's side, if anything did.
-        self.refused: caller.Refused | None = None
+        self.refused: validation.Refused | None = None
 
     def framing(self) -> bytes:
         """Return the end of the head, which tells how long the body is."""
@@ -197,24 +197,26 @@
         whole one.
         """
         limit = self.source.limit
-        passed = len(self.source.begun)
+        passed = len(self.source.prefix)
         content = self.source.stream
         try:
             if passed:
-                await self.send(self.source.begun)
+                await self.send(self.source.prefix)
             while not content.at_eof():
                 chunk = await content.readany()
                 passed += len(chunk)
                 if passed > limit:
-                    raise caller.Refused(codes.BODY_TOO_LARGE)
+                    raise validation.Refused(codes.BODY_TOO_LARGE)
                 await self.send(chunk)
             await self.writer.write_eof()
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             self.refused = refused
             self.cut()
-        except MALFORMED as error:
+        except BODY_ERRORS as error:
             if content.exception() is not None:
-                self.refused = caller.Refused(codes.BODY_MALFORMED, str(error))
+                self.refused = validation.Refused(
+                    codes.BODY_MALFORMED, str(error)
+                )
             self.cut()
         except asyncio.CancelledError:
             self.cut()
--- a/carawaystair/request/call.py
+++ b/carawaystair/request/call.py
@@ -23,7 +23,7 @@
     :param body: its body; None while it is not held here.
     :param stream: where a body that is not held is read from.
     :param length: length of that body, None when it comes in chunks.
-    :param begun: the part of such a body that was read already.
+    :param body_prefix: the part of such a body that was read already.
     :param digest: names what it asks for, see ``digests``.
     """
 
@@ -40,7 +40,7 @@
     body: bytes | None = b''
     stream: typing.Any = None
     length: int | None = None
-    begun: bytes = b''
+    body_prefix: bytes = b''
     digest: str = ''
 
     @property
--- a/carawaystair/request/connections.py
+++ b/carawaystair/request/connections.py
@@ -15,15 +15,15 @@
 
 # Opening a connection takes about a network round trip; a host that does not
 # answer by then is treated as down.
-CONNECT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 # Idle connections are closed after so long: what stands between the two
 # ends forgets connections, too.
-IDLE_S = 30.0
+MAX_IDLE_S = 30.0
 # A request that may not run twice uses only connections that carried an
 # answer within this time, or new ones.
-LIVE_S = 1.0
-MAX_IDLE = 16
-SWEEP_S = 1.0
+RECENT_USE_S = 1.0
+MAX_IDLE_CONNECTIONS = 16
+SWEEP_INTERVAL_S = 1.0
 
 
 class Connection:
@@ -34,7 +34,7 @@
     :param now: monotonic time.
     """
 
-    __slots__ = ('opened', 'owner', 'proto', 'target', 'used', 'uses')
+    __slots__ = ('opened_at', 'owner', 'proto', 'target', 'last_used', 'uses')
 
     def __init__(
         self,
@@ -44,40 +44,43 @@
     ) -> None:
         self.proto = proto
         self.target = target
-        self.opened = now
-        self.used = now
+        self.opened_at = now
+        self.last_used = now
         self.uses = 0
         # The attempt whose answer comes next, None while idle.
         self.owner: typing.Any = None
 
 
-def take(
+def acquire(
     target: targets.Target, max_idle_s: float, now: float
 ) -> Connection | None:
-    """Take an idle connection that was used within ``max_idle_s``.
+    """Take an idle connection that was last_used within ``max_idle_s``.
 
     None is taken while one of them is doubted to be lost: the others may
     have been lost with it.
     """
-    idle = target.idle
-    if target.doubted is not None:
+    idle = target.idle_connections
+    if target.suspected is not None:
         return None
-    while idle and now - idle[-1].used <= max_idle_s:
+    while idle and now - idle[-1].last_used <= max_idle_s:
         connection = idle.pop()
-        if connection.proto.sound and connection.opened >= target.renewed:
+        if (
+            connection.proto.sound
+            and connection.opened_at >= target.lost_before
+        ):
             return connection
         connection.proto.abort()
     return None
 
 
 async def connect(
-    target: targets.Target, until: float, patience_s: float = CONNECT_S
+    target: targets.Target, until: float, patience_s: float = CONNECT_TIMEOUT_S
 ) -> Connection:
     """Open a new connection.
 
     :param until: monotonic time at which to give up.
     :param patience_s: how long it may take, seconds.
-    :raises OSError: when it cannot be opened.
+    :raises OSError: when it cannot be opened_at.
     :raises TimeoutError: when nobody answers.
     """
     loop = asyncio.get_running_loop()
@@ -90,41 +93,41 @@
     return Connection(proto, target, loop.time())
 
 
-def give(connection: Connection, now: float) -> None:
+def release(connection: Connection, now: float) -> None:
     """Keep a connection for the next request, or close it."""
     target = connection.target
     connection.owner = None
-    connection.used = now
+    connection.last_used = now
     connection.uses += 1
     proto = connection.proto
     proto.busy = False
-    keep = proto.sound and connection.opened >= target.renewed
+    keep = proto.sound and connection.opened_at >= target.lost_before
     keep = keep and target.upstream.state == interfaces.UP
-    if keep and len(target.idle) < MAX_IDLE:
-        target.idle.append(connection)
+    if keep and len(target.idle_connections) < MAX_IDLE_CONNECTIONS:
+        target.idle_connections.append(connection)
     else:
         proto.abort()
 
 
-def sweep(target: targets.Target, now: float) -> None:
+def close_stale(target: targets.Target, now: float) -> None:
     """Close connections that have been idle too long or have ended."""
     kept = [
         connection
-        for connection in target.idle
-        if now - connection.used < IDLE_S
-        and connection.opened >= target.renewed
+        for connection in target.idle_connections
+        if now - connection.last_used < MAX_IDLE_S
+        and connection.opened_at >= target.lost_before
         and connection.proto.sound
     ]
-    for connection in set(target.idle).difference(kept):
+    for connection in set(target.idle_connections).difference(kept):
         connection.proto.abort()
-    target.idle[:] = kept
+    target.idle_connections[:] = kept
 
 
 def close_idle(target: targets.Target) -> None:
     """Close all idle connections of an upstream."""
-    for connection in target.idle:
+    for connection in target.idle_connections:
         connection.proto.abort()
-    target.idle.clear()
+    target.idle_connections.clear()
 
 
 class _Discard(asyncio.Protocol):
@@ -139,7 +142,7 @@
             self.ended.set_result(None)
 
 
-def part(connection: Connection) -> asyncio.Future | None:
+def half_close(connection: Connection) -> asyncio.Future | None:
     """Shut our end of a connection in use, and read the rest unseen.
 
     A plain close would not do: with bytes unread, the system makes a reset
@@ -162,7 +165,7 @@
     return ended
 
 
-async def let_go(connection: Connection, until: float) -> None:
+async def cancel(connection: Connection, until: float) -> None:
     """Cancel what runs on a connection and wait until that is known.
 
     Our end is shut for sending, which the upstream reads as the caller's
@@ -173,7 +176,7 @@
         whatever happens, such as the deadline it was told.
     """
     transport = connection.proto.transport
-    ended = part(connection)
+    ended = half_close(connection)
     if ended is None:
         return
     try:
--- a/carawaystair/request/digests.py
+++ b/carawaystair/request/digests.py
@@ -16,7 +16,7 @@
 DIGEST_BYTES = 12
 
 
-def named(call: calls.Call, host: str, credentials: str) -> calls.Call:
+def with_digest(call: calls.Call, host: str, credentials: str) -> calls.Call:
     """Return a request with its digest.
 
     :param host: the host that it names.
@@ -24,7 +24,7 @@
     """
     body, length = call.body, call.length
     if body is None:
-        body = call.begun[: bodies.FIRST_BYTES]
+        body = call.body_prefix[: bodies.PREFIX_BYTES]
     else:
         length = len(body)
     parts = (call.method, host, call.path, credentials, str(length))
--- a/carawaystair/request/exchange.py
+++ b/carawaystair/request/exchange.py
@@ -11,12 +11,12 @@
 from carawaystair import invariants
 from carawaystair.request import answer as answers
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 # A caller that takes no bytes for so long has gone, seconds.
-CALLER_STALL_S = 30.0
-LONGEST_PHRASE = 64
-CLOSE = b'\r\nConnection: close\r\n\r\n'
+CALLER_STALL_TIMEOUT_S = 30.0
+MAX_PHRASE_LENGTH = 64
+CLOSE_HEADER = b'\r\nConnection: close\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
@@ -39,30 +39,30 @@
 
     __slots__ = ('id', 'keep_alive', 'outcome', 'request')
 
-    def __init__(self, request: incoming.Request, id: str) -> None:
+    def __init__(self, request: http_server.Request, id: str) -> None:
         self.request = request
         self.id = id
         self.keep_alive = request.keep_alive
         # What the caller was told, None so far.
         self.outcome: str | None = None
 
-    def whole(
+    def write_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> None:
         """Write an upstream's whole answer.
 
         :param extra: header lines to add.
         """
-        self.write(self.packed(answer, code, extra))
+        self.write(self.encode_answer(answer, code, extra))
 
-    def packed(
+    def encode_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> bytes:
         """Return the bytes of an upstream's whole answer.
 
         :param extra: header lines to add.
         """
-        bodiless = answer.status in answers.BODILESS
+        bodiless = answer.status in answers.BODILESS_STATUSES
         if self.request.method == 'HEAD' or answer.status == 304:
             length = headers.value(answer.headers, b'content-length')
         else:
@@ -73,7 +73,7 @@
         head = self.head(answer, codes.COMPLETE, code, framing + extra)
         return head + answer.body
 
-    def begin(
+    def begin_answer(
         self,
         answer: answers.Answer,
         length: int | None,
@@ -95,7 +95,7 @@
         framing += extra
         self.write(self.head(answer, codes.COMPLETE, codes.OK, framing))
 
-    def refuse(
+    def write_error(
         self,
         code: codes.Code,
         outcome: str,
@@ -107,7 +107,7 @@
 
         :param status: its status; 0 for that of the code.
         """
-        answer = own(code, detail, self.id, retry_after_s, status)
+        answer = error_answer(code, detail, self.id, retry_after_s, status)
         framing = b'Content-Length: %d\r\n' % len(answer.body)
         head = self.head(answer, outcome, code, framing)
         self.write(
@@ -129,12 +129,12 @@
             self.keep_alive = False
         return b''.join(
             (
-                first_line(answer.status, answer.reason),
-                headers.lines(answer.headers, answer.connection),
+                status_line(answer.status, answer.reason),
+                headers.forwarded_lines(answer.headers, answer.connection),
                 framing,
-                told(outcome, code),
+                outcome_headers(outcome, code),
                 self.id.encode(),
-                b'\r\n\r\n' if self.keep_alive else CLOSE,
+                b'\r\n\r\n' if self.keep_alive else CLOSE_HEADER,
             )
         )
 
@@ -142,41 +142,41 @@
         """Write to the caller; raises ``ConnectionError`` when it is gone."""
         self.request.write(data)
 
-    def proceed(self) -> None:
+    def send_continue(self) -> None:
         """Tell a caller that waits for it to send its body."""
         self.write(CONTINUE)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the caller's connection, so that it sees a broken answer."""
         transport = self.request.connection.transport
         if transport is not None:
             transport.abort()
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until the caller has taken most of what was written.
 
         :raises ConnectionError: when it takes nothing for long, too.
         """
-        held = self.request.held is not None
+        held = self.request.unsent is not None
         if held or not self.request.connection.writing_paused:
             return
         try:
-            async with asyncio.timeout(CALLER_STALL_S):
+            async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
                 await self.request.writer.drain()
         except TimeoutError:
-            self.cut()
+            self.abort()
             raise ConnectionAbortedError('the caller stalls') from None
 
 
 @functools.lru_cache(256)
-def first_line(status: int, reason: str) -> bytes:
+def status_line(status: int, reason: str) -> bytes:
     """Return the first line of an answer."""
-    line = 'HTTP/1.1 %d %s\r\n' % (status, reason[:LONGEST_PHRASE])
+    line = 'HTTP/1.1 %d %s\r\n' % (status, reason[:MAX_PHRASE_LENGTH])
     return line.encode('utf-8', 'surrogateescape')
 
 
 @functools.lru_cache(256)
-def told(outcome: str, code: codes.Code) -> bytes:
+def outcome_headers(outcome: str, code: codes.Code) -> bytes:
     """Return the headers that tell what came of a request."""
     lines = '%s: %s\r\n%s: %s\r\n%s: ' % (
         headers.OUTCOME,
@@ -188,7 +188,7 @@
     return lines.encode()
 
 
-def own(
+def error_answer(
     code: codes.Code,
     detail: str,
     id: str,
@@ -207,25 +207,27 @@
     extra = [(b'Content-Type', b'application/json')]
     if status in (429, 503) or code is codes.KEY_RUNNING:
         extra.append((b'Retry-After', b'%g' % round(retry_after_s, 2)))
-    return answers.Answer(status, phrase(status), extra, None, body)
+    return answers.Answer(status, reason_phrase(status), extra, None, body)
 
 
-def problem(code: codes.Code, outcome: str, detail: str, id: str) -> bytes:
+def encode_error(
+    code: codes.Code, outcome: str, detail: str, id: str
+) -> bytes:
     """Return the last answer of a connection, about no request."""
-    answer = own(code, detail, id, 1.0)
+    answer = error_answer(code, detail, id, 1.0)
     return b''.join(
         (
-            first_line(answer.status, answer.reason),
-            headers.lines(answer.headers, None),
+            status_line(answer.status, answer.reason),
+            headers.forwarded_lines(answer.headers, None),
             b'Content-Length: %d\r\n' % len(answer.body),
-            told(outcome, code),
+            outcome_headers(outcome, code),
             id.encode(),
-            CLOSE,
+            CLOSE_HEADER,
             answer.body,
         )
     )
 
 
-def phrase(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Return the phrase that goes with a status."""
     return http.HTTPStatus(status).phrase
--- a/carawaystair/request/handler.py
+++ b/carawaystair/request/handler.py
@@ -6,24 +6,24 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
+from carawaystair.request import base_handler
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import digests
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import handling
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import keyed as keyeds
 from carawaystair.request import ledger
 from carawaystair.request import meters as meters_module
 from carawaystair.request import sender as senders
 from carawaystair.request import slot as slots
 from carawaystair.request import transfer
+from carawaystair.request import validation
 from carawaystair import routing as routings
 from carawaystair import rows
 
 
-class Handler(handling.Handling):
+class Handler(base_handler.BaseHandler):
     """Sends requests to upstreams; one for each node.
 
     :param host: the host of the node.
@@ -58,17 +58,17 @@
         )
 
     async def _answer(
-        self, request: incoming.Request, exchange: exchanges.Exchange
+        self, request: http_server.Request, exchange: exchanges.Exchange
     ) -> None:
         routing = self.routing()
         if routing is None or routing.version == rows.NONE:
-            raise caller.Refused(codes.NOT_READY)
+            raise validation.Refused(codes.NOT_READY)
         now = clock.now()
-        place = caller.target(request)
-        match = caller.route(routing, place)
+        place = validation.read_target(request)
+        match = validation.match_route(routing, place)
         if match is None or match.service is None:
             raise self._no_route()
-        call = caller.read(
+        call = validation.read_call(
             request,
             place,
             match,
@@ -76,21 +76,21 @@
             exchange.id,
             self.host,
             now,
-            self.longest_s,
+            self.max_duration_s,
         )
         exchange.id = call.id
-        if self.ends is not None:
+        if self.stop_deadline is not None:
             self._check_stopping(call)
-        length = bodies.declared(request)
+        length = bodies.declared_length(request)
         if length != 0 or 'Expect' in request.headers:
-            call = await self._take_body(request, call, exchange, length)
+            call = await self._read_body(request, call, exchange, length)
         credentials = request.headers.get('Authorization', '')
-        call = digests.named(call, place.host, credentials)
+        call = digests.with_digest(call, place.host, credentials)
         if call.key:
             await self._keyed(call, exchange)
         else:
             await self._plain(call, exchange)
-        self.meters.complete(clock.now() - now)
+        self.meters.record_complete(clock.now() - now)
 
     # Sending
 
@@ -117,7 +117,7 @@
         try:
             answer = await self.keyed.answer(call)
         finally:
-            self.held.drop(call.body)
+            self.keyed_bodies.drop(call.body)
         await self._pass_on(call, answer, exchange, None)
 
     async def _send_keyed(self, call: calls.Call) -> answers.Answer:
@@ -137,7 +137,7 @@
         """Wait until the request may start."""
         quarantine = self.sender.quarantine
         if not quarantine.may_begin(call.digest):
-            raise caller.crashes(quarantine.standing(call.digest))
+            raise validation.crash_refusal(quarantine.standing(call.digest))
         permit = self.admission.try_admit(
             call.service, call.charged, call.deadline, call.bulk
         )
@@ -148,7 +148,7 @@
         )
         if result.is_error():
             failure = result.error
-            raise caller.Refused(
+            raise validation.Refused(
                 failure.code,
                 failure.detail,
                 self.admission.retry_after(call.service),
@@ -164,10 +164,10 @@
     ) -> None:
         """Give the caller its answer."""
         if answer.rest is None:
-            exchange.whole(answer, codes.OK)
-            await exchange.drained()
+            exchange.write_answer(answer, codes.OK)
+            await exchange.wait_drained()
             return
         passing = transfer.Transfer(self.sender, call, answer, exchange, slot)
         if not await passing.run():
             exchange.keep_alive = False
-            self.meters.cut(call.id, 'The answer broke off.')
+            self.meters.record_broken(call.id, 'The answer broke off.')
--- a/carawaystair/request/headers.py
+++ b/carawaystair/request/headers.py
@@ -11,8 +11,8 @@
 REQUEST_ID = 'Caraway-Request-Id'
 OUTCOME = 'Caraway-Outcome'
 CODE = 'Caraway-Code'
-KEY = 'Idempotency-Key'
-OWN = b'caraway-'
+IDEMPOTENCY_KEY = 'Idempotency-Key'
+FLEET_PREFIX = b'caraway-'
 
 # RFC 9110 7.6.1: these concern one connection and end at each hop.
 HOP_BY_HOP = frozenset(
@@ -33,55 +33,55 @@
 # Names in Connection that say nothing about other headers.
 PERSISTENCE = frozenset((b'close', b'keep-alive'))
 # Longer names are not remembered: a caller could fill memory with them.
-LONGEST_REMEMBERED = 48
-MOST_REMEMBERED = 1024
+MAX_CACHED_LENGTH = 48
+MAX_CACHED_NAMES = 1024
 
 Raw = typing.Sequence[tuple[bytes, bytes]]
 
 
 # What was found out about names, so that each is looked at once.
-_TRAVELS: dict[bytes, bool] = {}
+_FORWARDED: dict[bytes, bool] = {}
 
 
-def travels(name: bytes) -> bool:
+def is_forwarded(name: bytes) -> bool:
     """Tell whether a header goes on to the other side.
 
     The fleet's own headers do not: nobody outside may speak for it.
     """
     lower = name.lower()
-    found = lower not in REFRAMED and not lower.startswith(OWN)
-    if len(name) <= LONGEST_REMEMBERED and len(_TRAVELS) < MOST_REMEMBERED:
-        _TRAVELS[name] = found
+    found = lower not in REFRAMED and not lower.startswith(FLEET_PREFIX)
+    if len(name) <= MAX_CACHED_LENGTH and len(_FORWARDED) < MAX_CACHED_NAMES:
+        _FORWARDED[name] = found
     return found
 
 
-def named(connection: str) -> frozenset[bytes]:
+def connection_options(connection: str) -> frozenset[bytes]:
     """Return the header names that a ``Connection`` value lists."""
     names = connection.encode('utf-8', 'surrogateescape').lower().split(b',')
     return frozenset(name.strip() for name in names) - PERSISTENCE
 
 
-def lines(raw: Raw, connection: str | None) -> bytes:
+def forwarded_lines(raw: Raw, connection: str | None) -> bytes:
     """Return the lines of the headers that go on, each with its line end.
 
     :param raw: names and values as they arrived.
     :param connection: all values of ``Connection``, joined by commas.
     """
     if connection:
-        dropped = named(connection)
+        dropped = connection_options(connection)
         raw = [pair for pair in raw if pair[0].lower() not in dropped]
-    known = _TRAVELS
+    known = _FORWARDED
     kept = []
     for pair in raw:
         goes = known.get(pair[0])
         if goes is None:
-            goes = travels(pair[0])
+            goes = is_forwarded(pair[0])
         if goes:
             kept.append(b'%b: %b\r\n' % pair)
     return b''.join(kept)
 
 
-def connection(given) -> str | None:
+def connection_value(given) -> str | None:
     """Return all values of ``Connection``, joined by commas.
 
     :param given: a multidict of the headers.
@@ -91,14 +91,14 @@
     return ','.join(given.getall('Connection'))
 
 
-def head(method: str, path: str, given, raw: Raw) -> bytes:
+def request_head(method: str, path: str, given, raw: Raw) -> bytes:
     """Return the request line and the lines of the headers that go on.
 
     :param given: the headers as they arrived, for ``Connection``.
     :param raw: those of them that may go on.
     """
     first = '%s %s HTTP/1.1\r\n' % (method, path)
-    return first.encode() + lines(raw, connection(given))
+    return first.encode() + forwarded_lines(raw, connection_value(given))
 
 
 def value(raw: Raw, wanted: bytes) -> bytes | None:
--- a/carawaystair/request/incoming.py
+++ b/carawaystair/request/http_server.py
@@ -21,21 +21,21 @@
 MAX_LINE_BYTES = 8 * 1024
 MAX_HEADERS = 100
 # A body that nobody reads makes the connection stop at twice as much.
-READ_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 # Requests that a caller may send ahead of their answers; reading stops there.
-MAX_AHEAD = 8
+MAX_PIPELINED = 8
 # Answers that wait for those before them may take this much memory, bytes of
 # a connection; no further request runs ahead then.
-MAX_HELD_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 # An idle connection is closed after so long, seconds.
-IDLE_S = 75.0
+IDLE_TIMEOUT_S = 75.0
 # A head that has begun must be here after so long; seconds.
-HEAD_S = 10.0
+HEAD_TIMEOUT_S = 10.0
 # Ends a head.
 HEAD_END = b'\r\n\r\n'
 # What is left of a body that nobody wants is read for so long, so that the
 # caller gets to read its answer; seconds.
-LINGER_S = 2.0
+LINGER_TIMEOUT_S = 2.0
 
 MESSAGE = http.RawRequestMessage
 
@@ -45,15 +45,16 @@
 
     :param line_bytes: bytes of one header line, or of the first line.
     :param head_s: time for a head that has begun, seconds.
-    :param idle_s: an idle connection stays open so long, seconds.
-    :param silence_s: a connection on which what was sent is not acknowledged
-        for so long has been lost, seconds; 0 leaves that to the system.
+    :param idle_s: time after which an idle connection is closed, seconds.
+    :param ack_timeout_s: time after which a connection whose sent data is
+        not acknowledged counts as lost, seconds; 0 leaves that to the
+        system.
     """
 
     line_bytes: int = MAX_LINE_BYTES
-    head_s: float = HEAD_S
-    idle_s: float = IDLE_S
-    silence_s: float = 0.0
+    head_s: float = HEAD_TIMEOUT_S
+    idle_s: float = IDLE_TIMEOUT_S
+    ack_timeout_s: float = 0.0
 
 
 DEFAULT_BOUNDS = Bounds()
@@ -69,11 +70,11 @@
     """
 
     __slots__ = (
-        'arrived',
+        'arrived_at',
         'connection',
         'content',
         'headers',
-        'held',
+        'unsent',
         'keep_alive',
         'made',
         'method',
@@ -98,11 +99,11 @@
         self.keep_alive = not (message.should_close or message.upgrade)
         self.content = content
         self.connection = connection
-        self.arrived = arrived
+        self.arrived_at = arrived
         self.made: http.StreamWriter | None = None
         # Bytes of its answer that wait for the answers before it; None once
         # they may go out.
-        self.held: list[bytes] | None = None
+        self.unsent: list[bytes] | None = None
         # Set while somebody waits for that.
         self.turn: asyncio.Future | None = None
 
@@ -112,22 +113,22 @@
 
         :raises ConnectionResetError: when the caller has gone.
         """
-        if self.held is None:
+        if self.unsent is None:
             self.connection.write(data)
         else:
-            self.held.append(data)
+            self.unsent.append(data)
 
     def release(self) -> None:
         """Let the answer go out: those before it have."""
-        held, self.held = self.held, None
+        held, self.unsent = self.unsent, None
         if held:
             self.connection.write(b''.join(held))
         if self.turn is not None:
             self.turn.set_result(None)
 
-    async def at_turn(self) -> None:
+    async def wait_turn(self) -> None:
         """Wait until the answers before this one have gone out."""
-        if self.held is not None:
+        if self.unsent is not None:
             self.turn = asyncio.get_running_loop().create_future()
             await self.turn
 
@@ -140,7 +141,9 @@
         return self.made
 
 
-def notice_silence(transport: asyncio.BaseTransport, silence_s: float) -> None:
+def set_user_timeout(
+    transport: asyncio.BaseTransport, ack_timeout_s: float
+) -> None:
     """Let a connection break when what was sent is not acknowledged.
 
     Symptom without it: the other end has gone and its close was lost; what
@@ -151,15 +154,15 @@
         raw.setsockopt(
             socket.IPPROTO_TCP,
             socket.TCP_USER_TIMEOUT,
-            int(silence_s * 1000),
+            int(ack_timeout_s * 1000),
         )
 
 
 Handle = typing.Callable[[Request], typing.Awaitable[bool]]
-May = typing.Callable[[Request], bool]
+RequestPredicate = typing.Callable[[Request], bool]
 
 
-class Ahead(typing.NamedTuple):
+class PipelinedRequest(typing.NamedTuple):
     """A request that runs before the answers in front of it are out.
 
     :param request: the request.
@@ -178,7 +181,7 @@
     :param refuse: answers what is no request, see ``errors.Malformed``.
     :param connections: all connections of the listener.
     :param bounds: what the caller may send.
-    :param may_run_ahead: tells whether a request may run before those in
+    :param may_pipeline: tells whether a request may run before those in
         front of it are answered; None where none may.
     """
 
@@ -189,33 +192,33 @@
         refuse: typing.Callable[['Connection', errors.Malformed], None],
         connections: set['Connection'],
         bounds: Bounds = DEFAULT_BOUNDS,
-        may_run_ahead: May | None = None,
+        may_pipeline: RequestPredicate | None = None,
     ) -> None:
         parser = http.HttpRequestParser(
             self,
             loop,
-            READ_BYTES,
+            READ_BUFFER_BYTES,
             max_line_size=bounds.line_bytes,
             max_headers=MAX_HEADERS,
             max_field_size=bounds.line_bytes,
             auto_decompress=False,
-            max_msg_queue_size=MAX_AHEAD,
+            max_msg_queue_size=MAX_PIPELINED,
         )
         super().__init__(loop, parser)
         self.handle = handle
         self.refuse = refuse
         self.connections = connections
         self.bounds = bounds
-        self.may_run_ahead = may_run_ahead
+        self.may_pipeline = may_pipeline
         # Whether the connection broke, rather than being closed.
         self.broken = False
         # Whether the caller ended it, in whichever way.
-        self.left = False
+        self.closed_by_caller = False
         # Requests that were read and not begun, and when that was.
         self.queue: collections.deque = collections.deque()
         # Whether one is being answered now, and those that run ahead of it.
         self.answering = False
-        self.ahead: collections.deque[Ahead] = collections.deque()
+        self.ahead: collections.deque[PipelinedRequest] = collections.deque()
         self.content = streams.EMPTY_PAYLOAD
         # Why no further request can be read.
         self.error: errors.Malformed | None = None
@@ -255,7 +258,7 @@
             first.request.release()
             keep_alive = await first.task
             self.ahead.popleft()
-            self._run_ahead()
+            self._start_pipelined()
             return keep_alive
         # What came with the caller's close would run for nobody. The end of
         # a stream is read one turn after the bytes before it.
@@ -263,7 +266,7 @@
         if not self.open:
             return False
         request = self._next()
-        self._run_ahead()
+        self._start_pipelined()
         return await self.handle(request)
 
     def _next(self) -> Request:
@@ -272,23 +275,23 @@
         self._read_on()
         return Request(message, self.content, self, arrived)
 
-    def _run_ahead(self) -> None:
+    def _start_pipelined(self) -> None:
         """Begin what may run before the requests in front are answered.
 
         One after the other, the last of a few requests that a caller sends
         at once would wait for the work of all others.
         """
-        if self.may_run_ahead is None:
+        if self.may_pipeline is None:
             return
-        while self.queue and len(self.ahead) < MAX_AHEAD:
+        while self.queue and len(self.ahead) < MAX_PIPELINED:
             message, content, arrived = self.queue[0]
             request = Request(message, content, self, arrived)
-            if not self.may_run_ahead(request) or self._held_enough():
+            if not self.may_pipeline(request) or self._held_enough():
                 return
             self.queue.popleft()
-            request.held = []
+            request.unsent = []
             task = self.loop.create_task(self._handle_ahead(request))
-            self.ahead.append(Ahead(request, task))
+            self.ahead.append(PipelinedRequest(request, task))
             self._read_on()
 
     async def _handle_ahead(self, request: Request) -> bool:
@@ -301,9 +304,9 @@
         held = sum(
             len(data)
             for ahead in self.ahead
-            for data in ahead.request.held or ()
+            for data in ahead.request.unsent or ()
         )
-        return held >= MAX_HELD_BYTES
+        return held >= MAX_BUFFERED_BYTES
 
     async def _arrived(self) -> bool:
         """Wait for a request; tell whether there is one."""
@@ -325,7 +328,7 @@
         # It may have stopped without reading being paused: behind a long
         # body, one request less than the most stands in the queue then.
         self.data_received(b'')
-        if self._buffer_paused and len(self.queue) < MAX_AHEAD:
+        if self._buffer_paused and len(self.queue) < MAX_PIPELINED:
             self._resume_reading_for_buffer()
 
     async def _linger(self) -> None:
@@ -338,7 +341,7 @@
         if transport is None or self.content.is_eof():
             return
         try:
-            async with asyncio.timeout(LINGER_S):
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
                 while not self.content.at_eof():
                     await self.content.readany()
         except (TimeoutError, errors.BodyError):
@@ -363,8 +366,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to serve."""
         super().connection_made(transport)
-        if self.bounds.silence_s:
-            notice_silence(transport, self.bounds.silence_s)
+        if self.bounds.ack_timeout_s:
+            set_user_timeout(transport, self.bounds.ack_timeout_s)
         self.connections.add(self)
         self.task = self.loop.create_task(self.serve())
 
@@ -377,9 +380,9 @@
             now = self.loop.time()
             self.queue.extend((*message, now) for message in messages)
             if self.answering:
-                self._run_ahead()
+                self._start_pipelined()
             self._wake()
-            if len(self.queue) >= MAX_AHEAD and not self._buffer_paused:
+            if len(self.queue) >= MAX_PIPELINED and not self._buffer_paused:
                 self._pause_reading_for_buffer()
         elif self.idle and data:
             self.begun = True
@@ -412,13 +415,13 @@
 
     def eof_received(self) -> None:
         """Take note of the caller's close; ours follows."""
-        self.left = True
+        self.closed_by_caller = True
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Cancel what is being done for the caller."""
         super().connection_lost(exc)
         self.broken = exc is not None
-        self.left = self.left or self.broken
+        self.closed_by_caller = self.closed_by_caller or self.broken
         self.connections.discard(self)
         if self.timer is not None:
             self.timer.cancel()
--- a/carawaystair/request/keyed.py
+++ b/carawaystair/request/keyed.py
@@ -12,8 +12,8 @@
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import replay
+from carawaystair.request import validation
 
 Run = typing.Callable[[calls.Call], typing.Awaitable[answers.Answer]]
 
@@ -43,7 +43,7 @@
         """Return the answer to a keyed request, be it this run's or not.
 
         :raises answers.Failed: when there is none.
-        :raises caller.Refused: when it was not run.
+        :raises validation.Refused: when it was not run.
         """
         result = await self.reservations.reserve(
             call.service,
@@ -54,7 +54,7 @@
         )
         if result.is_error():
             failure = result.error
-            raise caller.Refused(failure.code, failure.detail)
+            raise validation.Refused(failure.code, failure.detail)
         reserved = result.ok
         if not reserved.granted:
             return stored(reserved)
@@ -77,7 +77,7 @@
     async def _granted(self, call: calls.Call, token: str) -> answers.Answer:
         try:
             answer = await self.run(call)
-        except caller.Refused:
+        except validation.Refused:
             await self.reservations.release(token)
             raise
         except answers.Failed as failed:
--- a/carawaystair/request/ledger.py
+++ b/carawaystair/request/ledger.py
@@ -11,15 +11,15 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair import invariants
-from carawaystair.quarantine import crashes
+from carawaystair.quarantine import crash_detection
 from carawaystair.request import answer as answers
 from carawaystair.request import attempt as attempts
 from carawaystair.request import budget as budgets
 from carawaystair.request import call as calls
-from carawaystair.request import choosing
 from carawaystair.request import connections
 from carawaystair.request import headers
 from carawaystair.request import latencies
+from carawaystair.request import selection
 from carawaystair.request import silence
 from carawaystair.request import slot as slots
 from carawaystair.request import target as targets
@@ -46,20 +46,20 @@
 class Ledger:
     """The attempts of one node.
 
-    :param chooser: chooses upstreams.
+    :param selector: chooses upstreams.
     :param evidence: is told what every attempt showed.
     :param quarantine: knows requests that crash upstreams.
     """
 
     def __init__(
         self,
-        chooser: choosing.Chooser,
+        selector: selection.Selector,
         evidence: interfaces.Evidence,
         quarantine: interfaces.Quarantine,
     ) -> None:
-        self.chooser = chooser
+        self.selector = selector
         self.quarantine = quarantine
-        self.crashes = crashes.Crashes(quarantine)
+        self.crash_detector = crash_detection.CrashDetector(quarantine)
         self.evidence = evidence
         self.budgets: dict[str, budgets.Budget] = {}
         self.routes = latencies.Routes()
@@ -95,7 +95,7 @@
             call.match.key,
             attempt.fresh,
         )
-        since = self.chooser.leaving.get(attempt.target.upstream.id)
+        since = self.selector.leaving.get(attempt.target.upstream.id)
         if since is not None:
             invariants.check(
                 invariants.NO_WORK_AFTER_DRAIN,
@@ -119,9 +119,9 @@
         target = attempt.target
         target.in_flight -= 1
         if attempt.message.code < 500:
-            target.proven = True
-            self.quarantine.ended_well(attempt.call.digest)
-        attempt.settle(clock.now())
+            target.has_served = True
+            self.quarantine.record_success(attempt.call.digest)
+        attempt.release_connection(clock.now())
 
     def fail(self, attempt: attempts.Attempt, failed: answers.Failed) -> None:
         """End an attempt that brought no answer."""
@@ -136,8 +136,8 @@
         """Tell what the end of a connection without a byte shows."""
         if self.lost(attempt):
             return interfaces.SILENT
-        idle_s = attempt.started - attempt.connection.used
-        if attempt.reused and idle_s > connections.LIVE_S:
+        idle_s = attempt.started - attempt.connection.last_used
+        if attempt.reused and idle_s > connections.RECENT_USE_S:
             # An idle connection that the upstream closed just then: this
             # says nothing about how it works.
             return interfaces.CANCELLED
@@ -146,7 +146,7 @@
     def cut(self, attempt: attempts.Attempt) -> None:
         """End an attempt that has answered but is not read to its end."""
         attempt.target.in_flight -= 1
-        attempt.drop()
+        attempt.abort()
 
     def late(
         self, attempt: attempts.Attempt, slot: slots.Slot
@@ -164,7 +164,7 @@
         """Tell whether an attempt's connection was found to be lost."""
         return (
             attempt.silent
-            and attempt.connection.opened < attempt.target.renewed
+            and attempt.connection.opened_at < attempt.target.lost_before
         )
 
     def abandon(
@@ -181,7 +181,7 @@
         silence.ended(attempt)
         if not attempt.sent:
             attempt.target.in_flight -= 1
-            attempt.drop()
+            attempt.abort()
             return
         if slot is not None:
             slot.hold()
@@ -194,7 +194,7 @@
     ) -> None:
         until = max(attempt.call.deadline, clock.now()) + FREE_AFTER_S
         try:
-            await connections.let_go(attempt.connection, until)
+            await connections.cancel(attempt.connection, until)
         finally:
             attempt.target.in_flight -= 1
             if slot is not None:
@@ -204,12 +204,12 @@
 
     def record(self, attempt: attempts.Attempt, outcome: str) -> None:
         """Record what an attempt showed, once."""
-        if attempt.ended:
+        if attempt.recorded:
             return
-        attempt.ended = True
-        if attempt.alarm is not None:
-            attempt.alarm.cancel()
-            attempt.target.late.remove(attempt)
+        attempt.recorded = True
+        if attempt.suspicion_timer is not None:
+            attempt.suspicion_timer.cancel()
+            attempt.target.late_attempts.remove(attempt)
         now = clock.now()
         call = attempt.call
         target = attempt.target
@@ -220,7 +220,7 @@
         elif outcome in FAILURES:
             target.observe(max(latency_s, PENALTY_S), now)
         if outcome == interfaces.BROKEN:
-            self.crashes.broke(target, call.digest, call.id)
+            self.crash_detector.connection_broke(target, call.digest, call.id)
         self.note(attempt, outcome, latency_s)
 
     def note(
@@ -277,7 +277,7 @@
     if answer.status < 500:
         return interfaces.GOOD
     if answer.status == 503 and (
-        answers.refused(answer)
+        answers.is_refusal(answer)
         or headers.value(answer.headers, b'retry-after')
     ):
         return interfaces.SHED
--- a/carawaystair/request/listener.py
+++ b/carawaystair/request/listener.py
@@ -6,7 +6,7 @@
 from carawaystair import codes
 from carawaystair.request import errors
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 MAX_CONNECTIONS = 20_000
 BACKLOG = 1024
@@ -17,20 +17,20 @@
 
     :param handle: answers requests.
     :param bounds: returns what callers may send, asked for each connection.
-    :param may_run_ahead: tells which requests may run before those in front
+    :param may_pipeline: tells which requests may run before those in front
         of them are answered; None where none may.
     """
 
     def __init__(
         self,
-        handle: incoming.Handle,
-        bounds: typing.Callable[[], incoming.Bounds] = incoming.Bounds,
-        may_run_ahead: incoming.May | None = None,
+        handle: http_server.Handle,
+        bounds: typing.Callable[[], http_server.Bounds] = http_server.Bounds,
+        may_pipeline: http_server.RequestPredicate | None = None,
     ) -> None:
         self.handle = handle
         self.bounds = bounds
-        self.may_run_ahead = may_run_ahead
-        self.connections: set[incoming.Connection] = set()
+        self.may_pipeline = may_pipeline
+        self.connections: set[http_server.Connection] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
@@ -41,21 +41,21 @@
         """
         ip, _colon, port = address.rpartition(':')
         self.server = await asyncio.get_running_loop().create_server(
-            self.connection, ip.strip('[]'), int(port), backlog=BACKLOG
+            self.create_connection, ip.strip('[]'), int(port), backlog=BACKLOG
         )
 
-    def connection(self) -> asyncio.Protocol:
+    def create_connection(self) -> asyncio.Protocol:
         """Return the protocol of a new connection."""
         if len(self.connections) >= MAX_CONNECTIONS:
-            return Full()
+            return ConnectionRefuser()
         loop = asyncio.get_running_loop()
-        return incoming.Connection(
+        return http_server.Connection(
             loop,
             self.handle,
             refuse,
             self.connections,
             self.bounds(),
-            self.may_run_ahead,
+            self.may_pipeline,
         )
 
     def close(self) -> None:
@@ -70,7 +70,7 @@
                 connection.transport.close()
 
     @property
-    def sending(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Tell whether answers are written that the system has not taken."""
         return any(
             connection.transport is not None
@@ -88,18 +88,22 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-class Full(asyncio.Protocol):
+class ConnectionRefuser(asyncio.Protocol):
     """Refuses a connection that is one too many."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Say so and close."""
         code = codes.TOO_MANY_CONNECTIONS
-        transport.write(exchanges.problem(code, codes.NOT_RUN, '', '-'))
+        transport.write(exchanges.encode_error(code, codes.NOT_RUN, '', '-'))
         transport.close()
 
 
-def refuse(connection: incoming.Connection, error: errors.Malformed) -> None:
+def refuse(
+    connection: http_server.Connection, error: errors.Malformed
+) -> None:
     """Answer bytes that are no request."""
     if connection.transport is not None:
-        data = exchanges.problem(error.code, codes.NOT_RUN, error.text, '-')
+        data = exchanges.encode_error(
+            error.code, codes.NOT_RUN, error.text, '-'
+        )
         connection.transport.write(data)
--- a/carawaystair/request/meters.py
+++ b/carawaystair/request/meters.py
@@ -34,14 +34,14 @@
         self.events = 0
         self.unsaid = 0
 
-    def complete(self, latency_s: float) -> None:
+    def record_complete(self, latency_s: float) -> None:
         """Count a request that was answered whole."""
         self.completed += 1
         self.recent[int(latency_s * TICKS_PER_S)] += 1
         if len(self.recent) > MOST_RECENT:
             self._fold()
 
-    def failed(
+    def record_failed(
         self, outcome: str, code: codes.Code, request: str, detail: str
     ) -> None:
         """Count a request that was refused or failed."""
@@ -57,7 +57,7 @@
         text = '%s %s %s' % (code.label, code.name, detail)
         self.timeline.record('request-' + outcome, text, request=request)
 
-    def cut(self, request: str, text: str) -> None:
+    def record_broken(self, request: str, text: str) -> None:
         """Count an answer that was broken in the middle."""
         self.told['cut', codes.ANSWER_LOST.label] += 1
         self.timeline.record('answer-cut', text, request=request)
--- a/carawaystair/request/race.py
+++ b/carawaystair/request/race.py
@@ -75,7 +75,7 @@
 
     def spoilt(self, answer: answers.Answer) -> None:
         """Take note of an answer that is a server error or a refusal."""
-        if answers.refused(answer):
+        if answers.is_refusal(answer):
             self.lost(
                 answers.Failed(interfaces.SHED, codes.UPSTREAM_REFUSED, False)
             )
@@ -115,12 +115,12 @@
         """
         if len(self.tried) >= MAX_ATTEMPTS:
             return False
-        if not self.sender.quarantine.may_repeat(self.call.digest):
+        if not self.sender.quarantine.may_retry(self.call.digest):
             return False
-        chooser = self.sender.chooser
-        target = chooser.choose(self.call, self.tried)
+        selector = self.sender.selector
+        target = selector.choose(self.call, self.tried)
         if target is None:
-            target = chooser.choose(self.call)
+            target = selector.choose(self.call)
         if target is None or not self.budget.spend(kept):
             return False
         self.launch(target, fresh=target.upstream.id in self.tried)
@@ -181,7 +181,7 @@
         doubted = (
             attempt.target
             for attempt in self.running.values()
-            if attempt.target.doubted is attempt
+            if attempt.target.suspected is attempt
         )
         target = next(doubted, None)
         if target is None or self.raced or not self.budget.spend():
@@ -192,9 +192,9 @@
     def _next_look(self) -> float:
         """Return when a doubt may come up, or the deadline."""
         alarms = [
-            attempt.alarm.when() + silence.PAUSE_S
+            attempt.suspicion_timer.when() + silence.PAUSE_S
             for attempt in self.running.values()
-            if attempt.alarm is not None and not self.raced
+            if attempt.suspicion_timer is not None and not self.raced
         ]
         now = clock.now()
         later = [when for when in alarms if when > now]
--- a/carawaystair/request/replay.py
+++ b/carawaystair/request/replay.py
@@ -36,7 +36,9 @@
     """Return the stored form of an answer."""
     if answer.rest is not None:
         return msgspec.msgpack.encode(TOO_LONG)
-    kept = tuple(pair for pair in answer.headers if headers.travels(pair[0]))
+    kept = tuple(
+        pair for pair in answer.headers if headers.is_forwarded(pair[0])
+    )
     return msgspec.msgpack.encode(
         Stored(answer.status, answer.reason, kept, None, answer.body)
     )
--- a/carawaystair/request/choosing.py
+++ b/carawaystair/request/selection.py
@@ -15,11 +15,11 @@
 from carawaystair import routing as routings
 
 # The shares of starting upstreams are taken anew after so long, seconds.
-WARMING_S = 0.25
-DEFAULT = 'peak'
+WARMUP_REFRESH_S = 0.25
+DEFAULT_BALANCER = 'peak'
 
 
-class Place(typing.NamedTuple):
+class Location(typing.NamedTuple):
     """Where this node stands."""
 
     host: str
@@ -27,7 +27,7 @@
     region: str
 
 
-class Chosen(typing.NamedTuple):
+class CachedCandidates(typing.NamedTuple):
     """The candidates of a service and what they were made from.
 
     :param routing: the configuration, compared by identity.
@@ -45,7 +45,7 @@
     others: typing.Sequence[targets.Target]
 
 
-class Chooser:
+class Selector:
     """Chooses upstreams for the requests of this node.
 
     :param place: where this node stands.
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: Location,
         directory: interfaces.Directory,
         health: interfaces.Health,
         routing: typing.Callable[[], routings.Routing],
@@ -69,7 +69,7 @@
         self.routing = routing
         self.factories = factories
         self.targets: dict[str, targets.Target] = {}
-        self.chosen: dict[str, Chosen] = {}
+        self.chosen: dict[str, CachedCandidates] = {}
         self.balancers: dict[tuple[str, str], targets.Balancer] = {}
         # When each upstream that leaves was seen to; a second record beside
         # the targets, for the invariant.
@@ -82,7 +82,7 @@
         """Take note of an upstream that changed."""
         self.chosen.pop(upstream.service, None)
         target = self.targets.get(upstream.id)
-        if target is not None and targets.former(target, upstream):
+        if target is not None and targets.is_outdated(target, upstream):
             return
         now = clock.now()
         if upstream.state == interfaces.UP:
@@ -115,15 +115,15 @@
     def _let_go(self, target: targets.Target, now: float) -> None:
         """End a target: its connections in use are not kept either."""
         connections.close_idle(target)
-        target.renewed = now
+        target.lost_before = now
         target.upstream = target.upstream._replace(state=interfaces.GONE)
         self.targets.pop(target.upstream.id, None)
 
     def sweep(self, now: float) -> None:
         """Close what has been idle too long, forget what left long ago."""
         for target in self.targets.values():
-            if target.idle:
-                connections.sweep(target, now)
+            if target.idle_connections:
+                connections.close_stale(target, now)
         old = [key for key, t in self.leaving.items() if now - t > 60.0]
         for key in old:
             del self.leaving[key]
@@ -150,7 +150,7 @@
         balancer = self.balancer(service, call.match.service.balancer)
         return balancer.choose(candidates, call.charged, now)
 
-    def candidates(self, service: str, now: float) -> Chosen:
+    def candidates(self, service: str, now: float) -> CachedCandidates:
         """Return the candidates of a service."""
         routing = self.routing()
         ejected = self.health.ejected(service)
@@ -171,7 +171,7 @@
         routing: routings.Routing,
         ejected: frozenset[str],
         now: float,
-    ) -> Chosen:
+    ) -> CachedCandidates:
         usable = [
             self.target(upstream, now)
             for upstream in self.directory.upstreams(service)
@@ -190,9 +190,11 @@
         )
         used = shares.split(usable, here)
         made = shares.candidates(used, part, self.place.data_centre, now)
-        warming = any(target.warmth(now) < 1.0 for target in made.targets)
-        until = now + WARMING_S if warming else math.inf
-        return Chosen(routing, ejected, until, made, used.others)
+        warming = any(
+            target.warmup_share(now) < 1.0 for target in made.targets
+        )
+        until = now + WARMUP_REFRESH_S if warming else math.inf
+        return CachedCandidates(routing, ejected, until, made, used.others)
 
     def _rank(self, target: targets.Target) -> tuple[int, str]:
         """Order upstreams for this node; other nodes have another order."""
@@ -226,15 +228,19 @@
         """Return the balancer of a service."""
         balancer = self.balancers.get((service, name))
         if balancer is None:
-            factory = self.factories.get(name) or self.factories[DEFAULT]
+            factory = (
+                self.factories.get(name) or self.factories[DEFAULT_BALANCER]
+            )
             seed = '%s %s' % (self.place.host, service)
             balancer = factory(random.Random(seed), self.health)
             self.balancers[service, name] = balancer
         return balancer
 
 
-def pick(candidates: targets.Candidates, rng: random.Random) -> targets.Target:
+def weighted_choice(
+    candidates: targets.Candidates, rng: random.Random
+) -> targets.Target:
     """Return a candidate at random, by its share of the work."""
-    sums = candidates.shares
+    sums = candidates.cumulative_shares
     index = bisect.bisect(sums, rng.random() * sums[-1])
     return candidates.targets[min(index, len(sums) - 1)]
--- a/carawaystair/request/sender.py
+++ b/carawaystair/request/sender.py
@@ -11,10 +11,10 @@
 from carawaystair.request import attempt as attempts
 from carawaystair.request import budget as budgets
 from carawaystair.request import call as calls
-from carawaystair.request import choosing
 from carawaystair.request import connections
 from carawaystair.request import ledger
 from carawaystair.request import race as races
+from carawaystair.request import selection
 from carawaystair.request import slot as slots
 from carawaystair.request import target as targets
 
@@ -25,7 +25,7 @@
 class Sender(ledger.Ledger):
     """Sends requests; one for each node.
 
-    :param chooser: chooses upstreams.
+    :param selector: chooses upstreams.
     :param health: may want copies of requests for trial.
     :param evidence: is told what every attempt showed.
     :param quarantine: knows requests that crash upstreams.
@@ -33,12 +33,12 @@
 
     def __init__(
         self,
-        chooser: choosing.Chooser,
+        selector: selection.Selector,
         health: interfaces.Health,
         evidence: interfaces.Evidence,
         quarantine: interfaces.Quarantine,
     ) -> None:
-        super().__init__(chooser, evidence, quarantine)
+        super().__init__(selector, evidence, quarantine)
         self.health = health
 
     async def send(self, call: calls.Call, slot: slots.Slot) -> answers.Answer:
@@ -49,7 +49,7 @@
         """
         budget = self.budget(call.service)
         budget.earn(call.match.service.retry_percent)
-        target = self.chooser.choose(call)
+        target = self.selector.choose(call)
         if target is None:
             raise answers.Failed(
                 interfaces.CANCELLED, codes.NO_UPSTREAM, False
@@ -84,7 +84,7 @@
             tried.append(target.upstream.id)
             try:
                 answer = await self._whole(attempt, slot)
-                if not answers.refused(answer):
+                if not answers.is_refusal(answer):
                     return answer
                 failed = answers.Failed(
                     interfaces.SHED, codes.UPSTREAM_REFUSED, False
@@ -94,7 +94,7 @@
             spent = attempt.pump is not None
             if failed.sent or spent or len(tried) >= MAX_ATTEMPTS:
                 raise failed
-            target = self.chooser.choose(call, tried)
+            target = self.selector.choose(call, tried)
             if target is None or not budget.spend():
                 raise failed
 
@@ -160,12 +160,12 @@
         """Return an upstream that wants a copy of this request."""
         if call.bulk or budget.tokens < 1.0 + budgets.KEPT_FOR_RETRIES:
             return None
-        if not self.quarantine.may_repeat(call.digest):
+        if not self.quarantine.may_retry(call.digest):
             return None
         name = self.health.trial(call.service)
         if name is None or name == target.upstream.id:
             return None
-        wanted = self.chooser.named(call.service, name)
+        wanted = self.selector.named(call.service, name)
         return wanted if wanted is not None and budget.spend() else None
 
     async def stop(self, until: float) -> None:
@@ -180,7 +180,7 @@
         for task in left:
             task.cancel()
         await asyncio.gather(*left, return_exceptions=True)
-        for target in self.chooser.targets.values():
+        for target in self.selector.targets.values():
             connections.close_idle(target)
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
--- a/carawaystair/request/service.py
+++ b/carawaystair/request/service.py
@@ -8,11 +8,11 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair import metrics
-from carawaystair.request import choosing
 from carawaystair.request import connections
 from carawaystair.request import handler as handlers
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters
+from carawaystair.request import selection
 from carawaystair.request import sender as senders
 from carawaystair import routing as routings
 
@@ -46,7 +46,7 @@
         super().__init__(**kwargs)
         self.kernel = kernel
         self.parts = parts
-        self.chooser: choosing.Chooser | None = None
+        self.selector: selection.Selector | None = None
         self.sender: senders.Sender | None = None
         self.handler: handlers.Handler | None = None
         self.listener: listeners.Listener | None = None
@@ -55,15 +55,15 @@
         """Listen for callers."""
         parts = self.parts
         settings = self.kernel.settings
-        place = choosing.Place(
+        place = selection.Location(
             settings.host, settings.data_centre, settings.region
         )
         balancers = self.kernel.registry.collect('balancers')
-        self.chooser = choosing.Chooser(
+        self.selector = selection.Selector(
             place, parts.directory, parts.health, parts.routing, balancers
         )
         self.sender = senders.Sender(
-            self.chooser, parts.health, parts.evidence, parts.quarantine
+            self.selector, parts.health, parts.evidence, parts.quarantine
         )
         counts = meters.Meters(self.kernel.timeline)
         metrics.collect(counts.samples)
@@ -90,21 +90,21 @@
             return
         now = clock.now()
         handler = self.handler
-        handler.ends = now + self.kernel.settings.node.drain_s
+        handler.stop_deadline = now + self.kernel.settings.node.drain_s
         self.listener.close()
-        grace = min(now + IDLE_GRACE_S, handler.ends)
-        while clock.now() < handler.ends:
-            busy = handler.active or self.listener.sending
+        grace = min(now + IDLE_GRACE_S, handler.stop_deadline)
+        while clock.now() < handler.stop_deadline:
+            busy = handler.active or self.listener.has_unsent_data
             if not busy and clock.now() >= grace:
                 break
             await asyncio.sleep(STOP_POLL_S)
         self.listener.close_idle()
         await self.listener.abort()
-        await self.sender.stop(handler.ends)
+        await self.sender.stop(handler.stop_deadline)
 
     @mode.Service.task
     async def _sweep(self) -> None:
         """Close connections to upstreams that have been idle too long."""
         while not self.should_stop:
-            await self.sleep(connections.SWEEP_S)
-            self.chooser.sweep(clock.now())
+            await self.sleep(connections.SWEEP_INTERVAL_S)
+            self.selector.sweep(clock.now())
--- a/carawaystair/request/shares.py
+++ b/carawaystair/request/shares.py
@@ -94,7 +94,7 @@
     upstream = target.upstream
     near = upstream.data_centre == data_centre
     factor = NEAR_FACTOR if near else 1.0
-    return upstream.weight * factor * target.warmth(now)
+    return upstream.weight * factor * target.warmup_share(now)
 
 
 def without(
--- a/carawaystair/request/silence.py
+++ b/carawaystair/request/silence.py
@@ -46,46 +46,46 @@
 
     :param waited_s: how long it has taken so far.
     """
-    attempt.target.late.append(attempt)
-    attempt.alarm = asyncio.get_running_loop().call_at(
+    attempt.target.late_attempts.append(attempt)
+    attempt.suspicion_timer = asyncio.get_running_loop().call_at(
         attempt.started + max(waited_s * FACTOR, LEAST_S), _doubt, attempt
     )
 
 
 def _doubt(attempt: attempts.Attempt) -> None:
     target = attempt.target
-    trusted = clock.now() - target.renewed <= TRUST_S
+    trusted = clock.now() - target.lost_before <= TRUST_S
     doubtful = attempt.silent and attempt.reused and not trusted
-    if doubtful and target.doubted is None:
-        target.doubted = attempt
+    if doubtful and target.suspected is None:
+        target.suspected = attempt
 
 
 def ended(attempt: attempts.Attempt) -> None:
     """End the doubt that an attempt raised, if it did."""
-    if attempt.target.doubted is attempt:
-        attempt.target.doubted = None
+    if attempt.target.suspected is attempt:
+        attempt.target.suspected = None
 
 
 def answered(attempt: attempts.Attempt) -> None:
     """Let an answer settle a doubt about its upstream's connections."""
     target = attempt.target
-    doubted = target.doubted
+    doubted = target.suspected
     if doubted is None:
         return
     if doubted is attempt or not doubted.silent:
-        target.doubted = None
+        target.suspected = None
     elif not attempt.reused:
-        target.doubted = None
-        _renew(target, attempt.connection.opened)
+        target.suspected = None
+        _renew(target, attempt.connection.opened_at)
 
 
 def _renew(target: targets.Target, opened: float) -> None:
     """Give up the connections of an upstream that are older than this."""
-    target.renewed = opened
+    target.lost_before = opened
     target.cost = 0.0
     connections.close_idle(target)
-    for late in target.late:
-        if late.silent and late.connection.opened < opened:
+    for late in target.late_attempts:
+        if late.silent and late.connection.opened_at < opened:
             # Whoever waits there learns of it now, not at the deadline.
             late.connection.proto.abort()
 
@@ -114,10 +114,10 @@
     sender: typing.Any, task: asyncio.Task, attempt: attempts.Attempt
 ) -> None:
     deadline = attempt.call.deadline
-    if attempt.alarm is not None:
-        left_s = min(attempt.alarm.when(), deadline) - clock.now()
+    if attempt.suspicion_timer is not None:
+        left_s = min(attempt.suspicion_timer.when(), deadline) - clock.now()
         await asyncio.wait((task,), timeout=max(left_s, 0.0) + PAUSE_S)
-    if attempt.target.doubted is attempt:
+    if attempt.target.suspected is attempt:
         await race(sender, attempt)
     left_s = max(deadline - clock.now(), 0.0)
     await asyncio.wait((task,), timeout=left_s)
--- a/carawaystair/request/target.py
+++ b/carawaystair/request/target.py
@@ -1,98 +1,106 @@
-"""What this node knows of one upstream while it sends to it."""
+"""What this node knows of one upstream that it sends requests to."""
 
 import math
 import typing
 
 from carawaystair import interfaces
 
-# A latency that was seen loses two thirds of its hold on the average in
-# this time, seconds.
+# Time constant of the exponential decay of the latency average.
 DECAY_S = 10.0
-# An average this young is taken as it is.
+# An average younger than this is used without decay.
 FRESH_S = 0.1
-# Share of its work that an upstream gets right after its start.
-COLD_SHARE = 0.1
+# Share of its full load that an upstream gets right after its start.
+MIN_WARMUP_SHARE = 0.1
 
 
 class Target:
-    """One upstream as this node sends to it.
+    """The state that this node keeps of one upstream.
 
-    :param upstream: as last announced.
+    :param upstream: its last announcement.
     :param now: monotonic time.
     """
 
     __slots__ = (
         'cost',
-        'doubted',
-        'idle',
+        'suspected',
+        'idle_connections',
         'in_flight',
-        'late',
+        'late_attempts',
         'lingering',
         'pacer',
-        'proven',
-        'renewed',
-        'seen',
-        'stamp',
+        'has_served',
+        'lost_before',
+        'first_seen',
+        'cost_updated',
         'upstream',
     )
 
     def __init__(self, upstream: interfaces.Upstream, now: float) -> None:
         self.upstream = upstream
-        # Open connections that wait for work, the last used at the end.
-        self.idle: list = []
+        # Open connections without a request, the most recently used last.
+        self.idle_connections: list = []
         self.in_flight = 0
         # Attempts whose answers are late, oldest first.
-        self.late: list = []
-        # Attempts that run on although nobody waits for them.
+        self.late_attempts: list = []
+        # Number of attempts that continue although no request waits for
+        # them.
         self.lingering = 0
-        # Peak-sensitive average of latency, and the time it was taken.
+        # Peak-sensitive average of the latency, seconds, and when it was
+        # last updated.
         self.cost = 0.0
-        self.stamp = now
-        # When this incarnation was first seen here.
-        self.seen = now
+        self.cost_updated = now
+        # When this node first saw this incarnation.
+        self.first_seen = now
         # Connections opened before this time are known to be lost.
-        self.renewed = -math.inf
-        # A silent attempt whose connection, not upstream, may be at fault.
-        self.doubted: typing.Any = None
-        # Shares the link that long bodies take to it, if anything does.
+        self.lost_before = -math.inf
+        # A silent attempt that may be due to a lost connection rather than
+        # to the upstream.
+        self.suspected: typing.Any = None
+        # Shares the link to the upstream among long bodies; may be None.
         self.pacer: typing.Any = None
-        # Whether it has served anything well since its start.
-        self.proven = False
+        # Whether this incarnation has served a request successfully.
+        self.has_served = False
 
     def observe(self, latency_s: float, now: float) -> None:
-        """Let a latency count: a higher one at once, a lower one slowly.
+        """Update the latency average; it rises at once and falls slowly.
 
-        The peak-sensitive exponential average of Finagle's load balancer.
+        This is the peak-sensitive exponential average (peak EWMA) of
+        Finagle's load balancer.
         """
-        cost = self.cost * math.exp((self.stamp - now) / DECAY_S)
-        self.stamp = now
+        cost = self.cost * math.exp((self.cost_updated - now) / DECAY_S)
+        self.cost_updated = now
         self.cost = max(latency_s, cost + (latency_s - cost) * 0.1)
 
     def latency(self, now: float) -> float:
-        """Return the average latency, which fades with time, in seconds.
+        """Return the decayed average latency, in seconds.
 
-        A late answer counts as long as it has not come, and ever more.
+        While an answer is late, the time it has taken so far is a lower
+        bound.
         """
-        if self.late:
-            return max(now - self.late[0].started, self.cost)
-        age_s = now - self.stamp
+        if self.late_attempts:
+            return max(now - self.late_attempts[0].started, self.cost)
+        age_s = now - self.cost_updated
         if age_s < FRESH_S:
             return self.cost
         return self.cost * math.exp(-age_s / DECAY_S)
 
-    def warmth(self, now: float) -> float:
-        """Return the share of work for a starting upstream, up to 1.0."""
+    def warmup_share(self, now: float) -> float:
+        """Return the share of its full load that an upstream may get now.
+
+        It rises to 1.0 during the warm-up after the upstream's start.
+        """
         warmup = self.upstream.warmup_s
-        if warmup <= 0.0 or now - self.seen >= warmup:
+        if warmup <= 0.0 or now - self.first_seen >= warmup:
             return 1.0
-        return max((now - self.seen) / warmup, COLD_SHARE)
+        return max((now - self.first_seen) / warmup, MIN_WARMUP_SHARE)
 
 
-def former(target: Target, upstream: interfaces.Upstream) -> bool:
-    """Tell whether news is of a life that goes on at another host.
+def is_outdated(target: Target, upstream: interfaces.Upstream) -> bool:
+    """Tell whether an update is about an older incarnation at another host.
 
-    Where an id moved to another service as well, the directory tells both
-    of them; the end of the former one would end what is known of the new.
+    When an upstream id moves to another host and another service, the
+    directory reports changes of both incarnations.  The end of the older
+    one must not discard the state of the newer one.
     """
     known = target.upstream
     older = upstream.incarnation < known.incarnation
@@ -103,15 +111,16 @@
     """The upstreams that may get the next request of a service.
 
     :param targets: the upstreams.
-    :param shares: running sums of their shares of the work, rising.
+    :param cumulative_shares: running sums of their shares of the load, in
+        the order of ``targets``.
     """
 
     targets: tuple[Target, ...]
-    shares: tuple[float, ...]
+    cumulative_shares: tuple[float, ...]
 
 
 class Balancer(typing.Protocol):
-    """Chooses among candidates; made for one service of one node."""
+    """Chooses among candidates; one instance for each service of a node."""
 
     def choose(
         self, candidates: Candidates, customer: str, now: float
--- a/carawaystair/request/transfer.py
+++ b/carawaystair/request/transfer.py
@@ -113,17 +113,17 @@
         """
         length = headers.value(self.answer.headers, b'content-length')
         try:
-            self.exchange.begin(
+            self.exchange.begin_answer(
                 self.answer, None if length is None else int(length)
             )
             await self._write(self.answer.body)
             await self._pass_on()
             return True
         except BROKEN:
-            self.exchange.cut()
+            self.exchange.abort()
             return False
         except Spoilt:
-            self.exchange.cut()
+            self.exchange.abort()
             return False
         finally:
             # The caller has gone, or stalls: the upstream may stop.
@@ -167,7 +167,7 @@
             raise Spoilt('more bytes than were announced')
         try:
             await self.exchange.request.writer.write(chunk, drain=False)
-            await self.exchange.drained()
+            await self.exchange.wait_drained()
         except ConnectionError as error:
             raise Spoilt(str(error)) from error
 
@@ -183,7 +183,9 @@
         attempt.target.observe(1.0, now)
         if not stalled:
             call = self.call
-            self.sender.crashes.broke(attempt.target, call.digest, call.id)
+            self.sender.crash_detector.connection_broke(
+                attempt.target, call.digest, call.id
+            )
         self.tried.append(attempt.target.upstream.id)
         self.sender.cut(attempt)
 
@@ -201,13 +203,13 @@
         return False
 
     def _target(self):
-        chooser = self.sender.chooser
-        target = chooser.choose(self.call, self.tried)
-        return target or chooser.choose(self.call)
+        selector = self.sender.selector
+        target = selector.choose(self.call, self.tried)
+        return target or selector.choose(self.call)
 
     async def _may_resume(self) -> bool:
         """Wait for the retry budget of the service."""
-        if not self.sender.quarantine.may_repeat(self.call.digest):
+        if not self.sender.quarantine.may_retry(self.call.digest):
             return False
         budget = self.sender.budget(self.call.service)
         until = clock.now() + BUDGET_WAIT_S
--- a/carawaystair/request/caller.py
+++ b/carawaystair/request/validation.py
@@ -10,7 +10,7 @@
 from carawaystair import manifest
 from carawaystair.request import call as calls
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair import routing as routings
 
 NON_IDEMPOTENT = frozenset(('POST', 'PATCH'))
@@ -18,16 +18,16 @@
 # other parties added to its request.
 REFUSED_METHODS = frozenset(('CONNECT', 'TRACE'))
 MAX_DEADLINE_MS = 3_600_000
-MAX_CUSTOMER = 128
-MAX_KEY = 255
-MAX_ID = 64
-NAME = re.compile(r'[!-~]{1,%d}' % MAX_CUSTOMER)
-KEY = re.compile(r'[ -~]{1,%d}' % MAX_KEY)
-ID = re.compile(r'[\w.:-]{1,%d}' % MAX_ID, re.ASCII)
-DIGITS = re.compile(r'[0-9]{1,7}', re.ASCII)
+MAX_CUSTOMER_LENGTH = 128
+MAX_KEY_LENGTH = 255
+MAX_ID_LENGTH = 64
+CUSTOMER_PATTERN = re.compile(r'[!-~]{1,%d}' % MAX_CUSTOMER_LENGTH)
+KEY_PATTERN = re.compile(r'[ -~]{1,%d}' % MAX_KEY_LENGTH)
+ID_PATTERN = re.compile(r'[\w.:-]{1,%d}' % MAX_ID_LENGTH, re.ASCII)
+DEADLINE_PATTERN = re.compile(r'[0-9]{1,7}', re.ASCII)
 # A dot segment, plain or percent-encoded (RFC 3986 5.2.4), or a backslash,
 # which some upstreams take for a slash.
-DOTS = re.compile(r'[/\\](\.|%2e){1,2}([/\\]|%2f|%5c|$)', re.IGNORECASE)
+DOT_SEGMENT = re.compile(r'[/\\](\.|%2e){1,2}([/\\]|%2f|%5c|$)', re.IGNORECASE)
 
 
 class Refused(Exception):
@@ -47,7 +47,7 @@
         self.retry_after_s = retry_after_s
 
 
-def crashes(standing: crashing.Standing) -> Refused:
+def crash_refusal(standing: crashing.Standing) -> Refused:
     """Return the refusal of a request under which upstreams crashed.
 
     :param standing: what this node knows of it; a gateway may know more.
@@ -61,7 +61,7 @@
     return Refused(codes.CRASHES_UPSTREAMS, detail, after_s)
 
 
-class Target(typing.NamedTuple):
+class RequestTarget(typing.NamedTuple):
     """Where a request goes.
 
     :param host: the host that it names, without a port, in lower case.
@@ -74,7 +74,7 @@
     authority: str = ''
 
 
-def target(request: incoming.Request) -> Target:
+def read_target(request: http_server.Request) -> RequestTarget:
     """Return where a request goes; raises :class:`Refused`."""
     if request.method in REFUSED_METHODS:
         raise Refused(codes.METHOD_REFUSED, request.method)
@@ -89,36 +89,38 @@
         if not slash or not authority:
             raise Refused(codes.NO_ROUTE, 'no path')
     if '/.' in path or '%' in path or '\\' in path:
-        if DOTS.search(path.partition('?')[0]):
+        if DOT_SEGMENT.search(path.partition('?')[0]):
             raise Refused(codes.PATH_REFUSED)
     if not path.isascii() or not host.isascii():
         raise Refused(codes.REQUEST_MALFORMED, 'bytes beyond ASCII')
     if not host.endswith(']'):
         host = host.rpartition(':')[0] or host
-    return Target(host.lower(), path.partition('#')[0], authority)
+    return RequestTarget(host.lower(), path.partition('#')[0], authority)
 
 
-def route(routing: routings.Routing, place: Target) -> routings.Match | None:
+def match_route(
+    routing: routings.Routing, place: RequestTarget
+) -> routings.Match | None:
     """Return the route of a request, if there is one."""
     return routing.match(place.host, place.path.partition('?')[0])
 
 
-def read(
-    request: incoming.Request,
-    place: Target,
+def read_call(
+    request: http_server.Request,
+    place: RequestTarget,
     match: routings.Match,
     known: typing.Callable[[str], typing.Any],
     name: str,
     host: str,
     now: float,
-    longest_s: float,
+    max_duration_s: float,
 ) -> calls.Call:
     """Read the head of a request; raises :class:`Refused`.
 
     :param known: returns what the manifest says of a customer, or None.
     :param name: the request's own id.
     :param host: the host of this node.
-    :param longest_s: time that a request may have at most.
+    :param max_duration_s: time that a request may have at most.
     """
     given = request.headers
     method = request.method
@@ -136,23 +138,29 @@
         match,
         customer,
         charged,
-        now + min(budget_ms(given, match.service) / 1000, longest_s),
+        now
+        + min(read_timeout_ms(given, match.service) / 1000, max_duration_s),
         idempotent,
         '' if idempotent else _key(given),
         method,
         place.path,
-        head(request, place, customer, host),
+        upstream_head(request, place, customer, host),
     )
 
 
-def head(
-    request: incoming.Request, place: Target, customer: str, host: str
+def upstream_head(
+    request: http_server.Request,
+    place: RequestTarget,
+    customer: str,
+    host: str,
 ) -> bytes:
     """Return the request line and headers that go upstream."""
     raw = request.raw_headers
     if place.authority:
         raw = [pair for pair in raw if pair[0].lower() != b'host']
-    first = headers.head(request.method, place.path, request.headers, raw)
+    first = headers.request_head(
+        request.method, place.path, request.headers, raw
+    )
     last = 'Via: 1.1 %s\r\n%s%s' % (
         host,
         'Caraway-Customer: %s\r\n' % customer if customer else '',
@@ -174,21 +182,21 @@
     value = _single(given, headers.CUSTOMER, codes.CUSTOMER_INVALID)
     if value is None:
         return ''
-    if not NAME.fullmatch(value):
+    if not CUSTOMER_PATTERN.fullmatch(value):
         raise Refused(codes.CUSTOMER_INVALID)
     return value
 
 
 def _key(given) -> str:
-    value = _single(given, headers.KEY, codes.KEY_INVALID)
+    value = _single(given, headers.IDEMPOTENCY_KEY, codes.KEY_INVALID)
     if value is None:
         return ''
-    if not KEY.fullmatch(value):
+    if not KEY_PATTERN.fullmatch(value):
         raise Refused(codes.KEY_INVALID)
     return value
 
 
-def budget_ms(
+def read_timeout_ms(
     given, service: manifest.Service, name: str = headers.DEADLINE
 ) -> int:
     """Return the time that a request has, in ms.
@@ -198,7 +206,7 @@
     value = _single(given, name, codes.DEADLINE_INVALID)
     if value is None:
         return service.timeout_ms
-    if not DIGITS.fullmatch(value) or int(value) > MAX_DEADLINE_MS:
+    if not DEADLINE_PATTERN.fullmatch(value) or int(value) > MAX_DEADLINE_MS:
         raise Refused(codes.DEADLINE_INVALID)
     if int(value) == 0:
         raise Refused(codes.DEADLINE_EXPIRED)
@@ -211,7 +219,7 @@
     Ours stays part of it, because a caller may use its id twice.
     """
     value = given.get(headers.REQUEST_ID)
-    if value is None or not ID.fullmatch(value):
+    if value is None or not ID_PATTERN.fullmatch(value):
         return name
     return '%s.%s' % (value, name)
 
--- a/carawaystairplug/balancer_peak.py
+++ b/carawaystairplug/balancer_peak.py
@@ -4,7 +4,7 @@
 
 from carawaystair import interfaces
 from carawaystair import plugins
-from carawaystair.request import choosing
+from carawaystair.request import selection
 from carawaystair.request import target as targets
 
 # Added to every latency, so that requests in flight count even where
@@ -34,8 +34,8 @@
         """Return the better one of two."""
         if len(candidates.targets) == 1:
             return candidates.targets[0]
-        first = choosing.pick(candidates, self.rng)
-        second = choosing.pick(candidates, self.rng)
+        first = selection.weighted_choice(candidates, self.rng)
+        second = selection.weighted_choice(candidates, self.rng)
         if first is second:
             # Drawn twice: compare with a neighbour instead, so that a lone
             # favourite is still compared with something.
--- a/test/inert.py
+++ b/test/inert.py
@@ -44,14 +44,14 @@
         """Let everything run."""
         return True
 
-    def may_repeat(self, digest: str) -> bool:
+    def may_retry(self, digest: str) -> bool:
         """Let everything be repeated."""
         return True
 
-    def ended_well(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Keep nothing."""
 
-    def crashed(self, life, requests, proven, how) -> None:
+    def record_crash(self, incarnation, requests, proven, how) -> None:
         """Keep nothing."""
 
 
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -11,7 +11,7 @@
 from carawaystair.gateway import settling
 from carawaystair import manifest
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from test import gateway_setup as fleets
 from test import pipes
 from test import request_setup as setups
@@ -533,13 +533,13 @@
     async def scenario():
         made = asyncio.get_running_loop().create_future()
 
-        class Seen(incoming.Connection):
+        class Seen(http_server.Connection):
             def connection_made(self, transport):
                 super().connection_made(transport)
                 made.set_result(transport.get_extra_info('socket'))
 
         loop = asyncio.get_running_loop()
-        bounds = incoming.Bounds(silence_s=1.0)
+        bounds = http_server.Bounds(ack_timeout_s=1.0)
         server = await loop.create_server(
             lambda: Seen(loop, None, None, set(), bounds), '127.0.0.1', 0
         )
@@ -552,7 +552,7 @@
         return found
 
     assert asyncio.run(scenario()) == 1000
-    assert service._node_bounds().silence_s == sends.SILENCE_S
+    assert service._node_bounds().ack_timeout_s == sends.SILENCE_S
 
 
 @pytest.mark.parametrize('error', [ConnectionResetError, KeyError])
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -109,7 +109,9 @@
     async def crash(self, number: int, requests=None) -> None:
         """Let the upstream of a host crash."""
         process = self.processes['h%d' % number]
-        process.crashed('u%d/1' % number, requests or {'d': 'r'}, True, 'test')
+        process.record_crash(
+            'u%d/1' % number, requests or {'d': 'r'}, True, 'test'
+        )
 
 
 def run(count, scenario, **faults):
@@ -147,7 +149,7 @@
             await fleet.crash(number)
         await asyncio.sleep(CONTACT_S / 2)
         before = fleet.refusing()
-        fleet.processes['h9'].ended_well('d')
+        fleet.processes['h9'].record_success('d')
         await asyncio.sleep(CONTACT_S / 2)
         return before, fleet.refusing()
 
@@ -222,7 +224,7 @@
 
     async def scenario(fleet):
         for process in fleet.processes.values():
-            process.ended_well('d')
+            process.record_success('d')
         await asyncio.sleep(1.0)
         for number in range(8):
             await fleet.crash(number)
@@ -266,7 +268,7 @@
             digest = 'd%d' % rng.randrange(5)
             if rng.random() < 0.8:
                 life = 'u%d/%d' % (number, rng.randrange(2))
-                process.crashed(life, {digest: 'r'}, True, 'test')
+                process.record_crash(life, {digest: 'r'}, True, 'test')
             else:
                 process.clear(digest)
             await asyncio.sleep(rng.random() * 0.2)
@@ -300,11 +302,11 @@
 
 def test_request_that_may_be_at_fault_is_not_repeated():
     async def scenario(fleet):
-        before = fleet.processes['h5'].may_repeat('d')
+        before = fleet.processes['h5'].may_retry('d')
         for number in range(2):
             await fleet.crash(number)
         await asyncio.sleep(1.0)
-        return before, fleet.processes['h5'].may_repeat('d')
+        return before, fleet.processes['h5'].may_retry('d')
 
     assert run(6, scenario) == (True, False)
 
--- a/test/test_request_http.py
+++ b/test/test_request_http.py
@@ -7,7 +7,7 @@
 import pytest
 
 from carawaystair import manifest
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from test import pipes
 from test import request_setup as setups
 
@@ -255,5 +255,5 @@
     """The page for callers names the bounds in force."""
     with open('docs/operate/answers.md') as page:
         text = page.read()
-    assert '%d bytes' % incoming.MAX_LINE_BYTES in text
-    assert '%d headers' % incoming.MAX_HEADERS in text
+    assert '%d bytes' % http_server.MAX_LINE_BYTES in text
+    assert '%d headers' % http_server.MAX_HEADERS in text
--- a/test/test_request_keyed.py
+++ b/test/test_request_keyed.py
@@ -38,7 +38,7 @@
     assert (reused.outcome, reused.code) == ('not-run', 'CS-5001')
     assert other.outcome == second.outcome == 'complete'
     assert len(setup.runs) == 3
-    assert setup.path.handler.held.bytes == setup.admission.held == 0
+    assert setup.path.handler.keyed_bodies.bytes == setup.admission.held == 0
 
 
 def test_caller_repeats_while_it_runs():
@@ -88,7 +88,7 @@
             await asyncio.sleep(0.2)
             task.cancel()
             await asyncio.sleep(2.0)
-            targets = setup.path.chooser.targets.values()
+            targets = setup.path.selector.targets.values()
             return [target.in_flight for target in targets], upstream.gone
 
     assert pipes.run(scenario()) == ([0], 1)
--- a/test/test_request_late.py
+++ b/test/test_request_late.py
@@ -52,7 +52,7 @@
             answers = [await setup.ask() for _n in range(30)]
             took = loop.time() - started
             running = sum(
-                t.in_flight for t in setup.path.chooser.targets.values()
+                t.in_flight for t in setup.path.selector.targets.values()
             )
             await asyncio.sleep(6.0)
             return answers, took, running, setup
@@ -65,7 +65,7 @@
     assert len(setup.upstreams[0].runs) <= 2
     # The hanging attempts were blamed when their time was over.
     assert setup.outcomes()['timeout'] == running
-    targets_now = setup.path.chooser.targets.values()
+    targets_now = setup.path.selector.targets.values()
     assert all(t.in_flight == t.lingering == 0 for t in targets_now)
 
 
@@ -245,7 +245,7 @@
 
 
 def candidates(*details):
-    """Return candidates and a chooser's balancer over them."""
+    """Return candidates and a selector's balancer over them."""
     made = [
         targets.Target(
             interfaces.Upstream('u%d' % n, 's', 'x:1', 'h', 'a', 5), 0.0
@@ -271,7 +271,7 @@
     found = candidates(0.01, 0.01, 0.01, 1.0 if come else 0.01)
     if not come:
         late = types.SimpleNamespace(started=-1.0)
-        found.targets[3].late.append(late)
+        found.targets[3].late_attempts.append(late)
     counts = drawn(peak, found)
     assert counts[3] < 30
     assert min(counts[:3]) > 80
@@ -299,8 +299,13 @@
 
 def chosen(setup):
     """Return the ids of the candidates and their shares."""
-    found = setup.path.chooser.candidates('portal', 1.0).candidates
-    shares = (b - a for a, b in zip((0.0, *found.shares), found.shares))
+    found = setup.path.selector.candidates('portal', 1.0).candidates
+    shares = (
+        b - a
+        for a, b in zip(
+            (0.0, *found.cumulative_shares), found.cumulative_shares
+        )
+    )
     return dict(zip((t.upstream.id for t in found.targets), shares))
 
 
--- a/test/test_request_lifetimes.py
+++ b/test/test_request_lifetimes.py
@@ -53,20 +53,20 @@
         async with setups.running(upstream) as setup:
             asking = asyncio.create_task(setup.ask())
             await asyncio.sleep(5.0)
-            chooser = setup.sender.chooser
-            former = chooser.targets[upstream.name]
+            selector = setup.sender.selector
+            former = selector.targets[upstream.name]
             former.observe(3.0, clock.now())
             new = setups.announce(upstream, incarnation=9, warmup_s=3.0)
             setup.directory.put(new)
-            target = chooser.target(new, clock.now())
+            target = selector.target(new, clock.now())
             asking.cancel()
             return (
                 target is not former,
                 former.upstream.state,
                 target.in_flight,
-                target.late,
+                target.late_attempts,
                 target.latency(clock.now()),
-                target.warmth(clock.now()) < 1.0,
+                target.warmup_share(clock.now()) < 1.0,
             )
 
     found = pipes.run(scenario())
@@ -83,15 +83,15 @@
     async def scenario():
         upstream = setups.Upstream(9001)
         async with setups.running(upstream) as setup:
-            chooser = setup.sender.chooser
+            selector = setup.sender.selector
             stands = setups.announce(upstream, incarnation=9)
             setup.directory.put(stands)
-            target = chooser.target(stands, clock.now())
+            target = selector.target(stands, clock.now())
             former = stands._replace(
                 incarnation=5, host='h0', state=interfaces.GONE
             )
-            chooser.changed(former)
-            kept = chooser.targets.get(upstream.name) is target
-            return kept, target.upstream.state, dict(chooser.leaving)
+            selector.changed(former)
+            kept = selector.targets.get(upstream.name) is target
+            return kept, target.upstream.state, dict(selector.leaving)
 
     assert pipes.run(scenario()) == (True, interfaces.UP, {})
--- a/test/test_request_outcomes.py
+++ b/test/test_request_outcomes.py
@@ -264,7 +264,7 @@
 
 def in_flight(setup):
     """Return the attempts that count at upstreams."""
-    targets = setup.sender.chooser.targets.values()
+    targets = setup.sender.selector.targets.values()
     return sum(target.in_flight for target in targets)
 
 
@@ -410,7 +410,7 @@
     async def scenario():
         upstreams = setups.Upstream(9001, script), setups.Upstream(9002)
         async with setups.running(*upstreams) as setup:
-            chosen = setup.sender.chooser.candidates('portal', 0.0)
+            chosen = setup.sender.selector.candidates('portal', 0.0)
             for target in chosen.candidates.targets:
                 if target.upstream.id == 'u9002':
                     # By its latency it would be the last choice.
--- a/test/test_request_random.py
+++ b/test/test_request_random.py
@@ -159,10 +159,10 @@
             whole = BUNDLE if kind == 'bulk' else b'<%s>' % marker.encode()
             assert answer.body == whole
     assert 'failed.' not in capsys.readouterr().out
-    targets = setup.path.chooser.targets.values()
+    targets = setup.path.selector.targets.values()
     assert all(t.in_flight == t.lingering == 0 for t in targets)
-    assert all(not t.late and t.doubted is None for t in targets)
-    assert setup.admission.held == setup.path.handler.held.bytes == 0
+    assert all(not t.late_attempts and t.suspected is None for t in targets)
+    assert setup.admission.held == setup.path.handler.keyed_bodies.bytes == 0
     assert not setup.sender.tasks and not setup.sender.watches
     complete = [a for _k, _m, a in world.told if a and a.outcome == 'complete']
     assert len(complete) > len(world.told) * 0.5
--- a/test/test_request_whole.py
+++ b/test/test_request_whole.py
@@ -50,7 +50,7 @@
             for n, script in enumerate(scripts)
         ]
         async with setups.running(*upstreams, routes=BULK) as setup:
-            for target in setup.path.chooser.candidates(
+            for target in setup.path.selector.candidates(
                 'portal', 0.0
             ).candidates.targets:
                 target.observe(target.upstream.address[-1] != '1', 0.0)
@@ -63,7 +63,7 @@
 
     answer, setup, held = pipes.run(scenario())
     assert held == 0
-    assert all(t.in_flight == 0 for t in setup.path.chooser.targets.values())
+    assert all(t.in_flight == 0 for t in setup.path.selector.targets.values())
     return answer, setup
 
 
