--- a/carawaystair/experiments.py
+++ b/carawaystair/experiments.py
@@ -23,7 +23,7 @@
 from carawaystair.load import trying
 from carawaystair.load import valuing
 from carawaystair.load import waiting
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 
 class Part(typing.NamedTuple):
@@ -115,7 +115,9 @@
         Part(dispatches.Dispatch, 'final_attempt', property(_last_by_kind)),
     ),
     # Requests sent ahead run side by side.
-    'side-by-side': (Part(incoming.Connection, '_run_ahead', _nothing),),
+    'side-by-side': (
+        Part(http_server.Connection, '_start_pipelined', _nothing),
+    ),
     # Bodies go out when a gateway has a slot for them.
     'ask-body': (Part(gateway_client, 'EXPECT_CONTINUE_BYTES', math.inf),),
     # What is sent between nodes ages on its way.
--- a/carawaystair/gateway/gateway_client.py
+++ b/carawaystair/gateway/gateway_client.py
@@ -241,7 +241,7 @@
             attempt.leave()
             raise
         if answer.rest is None:
-            attempt.settle(clock.now())
+            attempt.release_connection(clock.now())
         return answer
 
     async def _head(
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -25,7 +25,7 @@
 from carawaystair.load import retrying
 from carawaystair import metrics
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters as meters_module
 
@@ -134,7 +134,7 @@
         self.caller_listener = listeners.Listener(
             self.caller_handler.handle,
             self.caller_handler.bounds,
-            self.caller_handler.may_run_ahead,
+            self.caller_handler.may_pipeline,
         )
         self.node_listener = listeners.Listener(
             self.hop_handler.handle, _node_limits
@@ -213,7 +213,7 @@
     async def _sweep(self) -> None:
         """Close connections that were idle too long."""
         while not self.should_stop:
-            await self.sleep(connections.SWEEP_S)
+            await self.sleep(connections.SWEEP_INTERVAL_S)
             now = clock.now()
             self.pool.sweep(now)
             self.executor.sweep(now)
@@ -229,7 +229,7 @@
         node = self.settings.node
         now = clock.now()
         ends = now + max(node.drain_s - STOP_SLACK_S, 0.0)
-        self.caller_handler.ends = ends
+        self.caller_handler.stop_deadline = ends
         self.caller_handler.last_new = min(now + node.lame_duck_s, ends)
         self.membership.registry.close()
         self.executor.close()
@@ -258,12 +258,14 @@
             self.caller_handler.active
             or self.hop_handler.active
             or self.hop_handler.runs.orphans
-            or any(listener.sending for listener in listeners)
+            or any(listener.has_unsent_data for listener in listeners)
         )
 
 
-def _node_limits() -> incoming.Bounds:
+def _node_limits() -> http_server.Bounds:
     """Return what other nodes may send: heads as long as callers' and ours,
     and no connection that has gone silent.
     """
-    return incoming.Bounds(MOST_HEAD_BYTES, silence_s=send_attempts.SILENCE_S)
+    return http_server.Bounds(
+        MOST_HEAD_BYTES, ack_timeout_s=send_attempts.SILENCE_S
+    )
