--- a/bench/crashing_model.py
+++ b/bench/crashing_model.py
@@ -3,7 +3,7 @@
 A content that crashes upstreams is asked for again and again beside sound
 load, of which a part asks for one popular content; some upstreams crash for
 another cause.  Which requests are refused is the product's decision
-(``load.crashing``); facts are known everywhere after a fixed time.
+(``load.crash_suspects``); facts are known everywhere after a fixed time.
 """
 
 import itertools
@@ -11,8 +11,8 @@
 import typing
 
 from bench import gateway_model as models
-from carawaystair.load import crashing
-from carawaystair.load import estimating
+from carawaystair.load import crash_suspects
+from carawaystair.load import failure_estimate
 
 # A run crashes its upstream after so long, and its upstream is back so much
 # later, seconds.
@@ -33,7 +33,7 @@
     :param spread_s: what one process knows all know after so long, seconds.
     """
 
-    limit: int = crashing.LIMIT
+    limit: int = crash_suspects.CRASH_LIMIT
     contents: int = 1
     every_s: float = 0.5
     outside_s: float = 0.0
@@ -53,7 +53,7 @@
         super().__init__(plan, seed)
         self.crashes = crashes
         self.rng = random.Random('crashes %d' % seed)
-        self.suspects = crashing.Suspects(crashes.limit)
+        self.suspects = crash_suspects.Suspects(crashes.limit)
         # What each upstream runs, by the id of the request, and its starts.
         self.running = {name: {} for name in self.upstreams}
         self.lives = dict.fromkeys(self.upstreams, 1)
@@ -89,7 +89,7 @@
     def _begin(self, now, upstream, trip) -> None:
         request = trip.request
         if now < self.down_until[upstream.name]:
-            upstream.gate.line.end(request.id)
+            upstream.gate.queue.finish(request.id)
             self.at(now + models.ROUND_TRIP_S, self._ask, trip)
             return
         self.running[upstream.name][request.id] = trip
@@ -106,7 +106,7 @@
             # Its upstream crashed before.
             return
         if good:
-            facts = self.suspects.ended_well(digest_of(trip.request), now)
+            facts = self.suspects.record_success(digest_of(trip.request), now)
             self._spread(now, facts)
         super()._end(now, upstream, trip, good, began)
 
@@ -121,11 +121,11 @@
         self.lives[name] += 1
         self.down_until[name] = now + DOWN_S
         requests = {digest_of(t.request): t.request.id for t in trips}
-        self._spread(now, self.suspects.crashed(named, requests, True))
+        self._spread(now, self.suspects.crash_facts(named, requests, True))
         self._turn_away(now, upstream)
-        upstream.gate.estimate.see(estimating.FAILED, now)
+        upstream.gate.estimate.observe(failure_estimate.FAILED, now)
         for trip in trips:
-            upstream.gate.line.end(trip.request.id)
+            upstream.gate.queue.finish(trip.request.id)
             kind = trip.request.kind
             if kind.repeatable and trip.runs < models.MOST_RUNS:
                 self.at(now + models.ROUND_TRIP_S, self._ask, trip)
@@ -136,11 +136,11 @@
         for fact in facts:
             self.at(now + self.crashes.spread_s, self._learn, fact)
 
-    def _learn(self, now: float, fact: crashing.Fact) -> None:
-        self.suspects.learn(fact, now)
-        if self.suspects.was_sound(fact.digest, now):
-            for cleared in self.suspects.clearing(fact.digest, now):
-                self.suspects.learn(cleared, now)
+    def _learn(self, now: float, fact: crash_suspects.Fact) -> None:
+        self.suspects.add(fact, now)
+        if self.suspects.recently_succeeded(fact.digest, now):
+            for cleared in self.suspects.clearing_facts(fact.digest, now):
+                self.suspects.add(cleared, now)
 
 
 def digest_of(request: models.Request) -> str:
--- a/bench/exp_gateways.py
+++ b/bench/exp_gateways.py
@@ -7,7 +7,7 @@
 
 from bench import figures
 from bench import gateway_model as model
-from carawaystair.load import trying
+from carawaystair.load import trial_requests
 
 TITLE = 'Waiting, rejecting and placing at gateways, with gray upstreams'
 
@@ -69,7 +69,9 @@
     """Yield what trials of upstreams that stay gray cost, as often as at
     first and growing apart.
     """
-    even = mock.patch.object(trying, 'MOST_S', trying.EVERY_S)
+    even = mock.patch.object(
+        trial_requests, 'MAX_INTERVAL_S', trial_requests.MIN_INTERVAL_S
+    )
     for name, change in (('even', even), ('apart', contextlib.nullcontext())):
         with change:
             plays = [model.play(SEARCHES, POLICIES[-1], one) for one in seeds]
--- a/bench/gateway_model.py
+++ b/bench/gateway_model.py
@@ -14,13 +14,13 @@
 
 from carawaystair import experiments
 from carawaystair.gateway import relay
-from carawaystair.load import estimating
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import retrying
-from carawaystair.load import spreading
-from carawaystair.load import valuing
-from carawaystair.load import waiting
+from carawaystair.load import exploration
+from carawaystair.load import failure_estimate
+from carawaystair.load import request_value
+from carawaystair.load import retry_budget
+from carawaystair.load import slot_queue
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 
 # One question to a gateway and back, seconds.
 ROUND_TRIP_S = 0.003
@@ -164,9 +164,9 @@
 
     def __init__(self, name: str, plan: Plan, rng: random.Random) -> None:
         self.name = name
-        self.gate = gate.Gate(plan.slots)
-        self.budget = retrying.Budget(
-            0.0, plan.retry_slack, 10.0, retrying.rounding(name)
+        self.gate = upstream_gate.Gate(plan.slots)
+        self.budget = retry_budget.Budget(
+            0.0, plan.retry_slack, 10.0, retry_budget.rounding(name)
         )
         self.turns = list(_turns(plan, rng))
         self.rng = rng
@@ -200,7 +200,7 @@
         self.request = request
         self.tried: set[str] = set()
         # What those said that refused it for now.
-        self.refused: dict[str, placing.Report] = {}
+        self.refused: dict[str, upstream_selection.LoadReport] = {}
         # Those at which it was left to wait.
         self.stayed: set[str] = set()
         self.asked = 0
@@ -211,11 +211,11 @@
         """Tell whether it can't be sent once more if it fails."""
         return not self.request.kind.repeatable or self.runs > 0
 
-    def need(self, now: float) -> valuing.Need:
+    def need(self, now: float) -> request_value.Need:
         """Return what it needs now."""
         request = self.request
         kind = request.kind
-        return valuing.Need(
+        return request_value.Need(
             request.at + kind.goal_s - now,
             request.at + kind.deadline_s - now,
             self.last,
@@ -238,22 +238,28 @@
         }
         self.candidates = [
             [
-                placing.Candidate(name, n % plan.centres == centre, plan.slots)
+                upstream_selection.Candidate(
+                    name, n % plan.centres == centre, plan.slots
+                )
                 for n, name in enumerate(self.upstreams)
             ]
             for centre in range(plan.centres)
         ]
         self.boards = [
-            placing.Board(random.Random('node %d %d' % (seed, n)))
+            upstream_selection.UpstreamSelector(
+                random.Random('node %d %d' % (seed, n))
+            )
             for n in range(plan.nodes)
         ]
         self.budgets = [
-            retrying.Budget(
-                plan.retry_ratio, 0.0, 10.0, retrying.rounding('n%d' % n)
+            retry_budget.Budget(
+                plan.retry_ratio, 0.0, 10.0, retry_budget.rounding('n%d' % n)
             )
             for n in range(plan.nodes)
         ]
-        self.spreadings = [spreading.Spreading() for _ in range(plan.nodes)]
+        self.spreadings = [
+            exploration.Exploration() for _ in range(plan.nodes)
+        ]
         self.events: list = []
         self.order = itertools.count()
         self.outcomes: list[Outcome] = []
@@ -282,7 +288,7 @@
     # The caller's node
 
     def _read(self, now: float, request: Request) -> None:
-        self.budgets[request.node].first(now)
+        self.budgets[request.node].record_first_send(now)
 
     def _ask(self, now: float, trip: Trip) -> None:
         choice = None
@@ -298,10 +304,12 @@
         if reason:
             self._refused(now, upstream, trip, reason)
             return
-        upstream.gate.line.ask(_want(trip.request), now, False)
+        upstream.gate.queue.request_slot(_want(trip.request), now, False)
         self._begin(now, upstream, trip)
 
-    def _choose(self, now: float, trip: Trip) -> placing.Choice | None:
+    def _choose(
+        self, now: float, trip: Trip
+    ) -> upstream_selection.Choice | None:
         request = trip.request
         node = request.node
         first = not trip.asked
@@ -314,7 +322,7 @@
             request.kind.name,
             0.0,
             first and not trip.last,
-            first and self.spreadings[node].everywhere,
+            first and self.spreadings[node].active,
         )
 
     def _refused(
@@ -323,7 +331,7 @@
         self._hear(now, upstream, trip.request)
         if reason != SPENT:
             board = self.boards[trip.request.node]
-            trip.refused[upstream.name] = board.views[upstream.name].report
+            trip.refused[upstream.name] = board.states[upstream.name].report
         self.at(now + ROUND_TRIP_S, self._ask, trip)
 
     def _refusal(
@@ -331,13 +339,18 @@
         now: float,
         upstream: Upstream,
         trip: Trip,
-        choice: placing.Choice,
+        choice: upstream_selection.Choice,
     ) -> str:
         kind = trip.request.kind
-        usual_s = self.boards[trip.request.node].durations.of(kind.name)
-        calm = not self.spreadings[trip.request.node].everywhere
-        offer = gate.Offer(
-            trip.last, trip.runs > 0, choice.again, choice.least, calm, usual_s
+        usual_s = self.boards[trip.request.node].durations.expected(kind.name)
+        calm = not self.spreadings[trip.request.node].active
+        offer = upstream_gate.Offer(
+            trip.last,
+            trip.runs > 0,
+            choice.retry_value,
+            choice.min_value,
+            calm,
+            usual_s,
         )
         want = _want(trip.request)
         answer = upstream.gate.answer(offer, want, now)
@@ -346,9 +359,9 @@
     def _spent(self, now: float, upstream: Upstream, trip: Trip) -> str:
         if not trip.runs:
             return ''
-        allowed = self.budgets[trip.request.node].repeat(
+        allowed = self.budgets[trip.request.node].take_retry(
             now, 1
-        ) or upstream.budget.repeat(now, self.plan.upstreams)
+        ) or upstream.budget.take_retry(now, self.plan.upstreams)
         return '' if allowed else SPENT
 
     def _stay(self, now: float, trip: Trip) -> None:
@@ -368,19 +381,21 @@
         if self._spent(now, upstream, trip):
             self._refused(now, upstream, trip, SPENT)
             return
-        verdict = upstream.gate.line.ask(_want(trip.request), now, True)
+        verdict = upstream.gate.queue.request_slot(
+            _want(trip.request), now, True
+        )
         if verdict.starts:
             self._begin(now, upstream, trip)
         elif verdict.waits:
-            last = upstream.gate.line.last_start(_want(trip.request), now)
+            last = upstream.gate.queue.latest_start(_want(trip.request), now)
             self.at(last, self._give_up, upstream, trip)
         else:
             self._refused(now, upstream, trip, verdict.reason)
 
     def _give_up(self, now: float, upstream: Upstream, trip: Trip) -> None:
-        line = upstream.gate.line
+        line = upstream.gate.queue
         if trip.request.id in line.waiting:
-            line.leave(trip.request.id)
+            line.remove(trip.request.id)
             self._tell(now, trip, False, now - trip.request.at)
 
     def _tell(
@@ -394,14 +409,14 @@
     def _hear(self, now: float, upstream: Upstream, request: Request) -> None:
         report = upstream.gate.report('p', request.kind.name, now)
         board = self.boards[request.node]
-        board.heard(upstream.name, report, now, request.kind.name)
+        board.record_report(upstream.name, report, now, request.kind.name)
 
     # The upstream
 
     def _begin(self, now: float, upstream: Upstream, trip: Trip) -> None:
         trip.runs += 1
         self.begun.append((now, upstream.name))
-        upstream.gate.trials.began(now)
+        upstream.gate.trials.record_start(now)
         gray = upstream.gray(now)
         fails = gray and upstream.rng.random() < self.plan.gray_fails
         if fails and not self.plan.gray_works:
@@ -413,7 +428,9 @@
         self.at(end, self._end, upstream, trip, good, now)
 
     def _survived(self, now: float, upstream: Upstream) -> None:
-        upstream.gate.estimate.see(estimating.SURVIVED, now)
+        upstream.gate.estimate.observe(
+            failure_estimate.NOT_FAILED_AT_ONCE, now
+        )
 
     def _end(
         self,
@@ -424,22 +441,32 @@
         began: float,
     ) -> None:
         request, here = trip.request, upstream.gate
-        here.line.end(request.id)
+        here.queue.finish(request.id)
         if good:
-            here.line.learn(request.kind.name, began, now - began)
-            here.estimate.see(estimating.SUCCEEDED, now)
-            here.trials.succeeded()
+            here.queue.record_service_time(
+                request.kind.name, began, now - began
+            )
+            here.estimate.observe(failure_estimate.SUCCEEDED, now)
+            here.trials.record_success()
         else:
             at_once = now - began < SURVIVED_S
-            sight = estimating.FAILED_AT_ONCE if at_once else estimating.FAILED
-            before = here.estimate.failing(now)
-            here.estimate.see(sight, now)
-            here.trials.failed(now)
-            if before <= estimating.LIKELY < here.estimate.failing(now):
+            sight = (
+                failure_estimate.FAILED_AT_ONCE
+                if at_once
+                else failure_estimate.FAILED
+            )
+            before = here.estimate.failure_probability(now)
+            here.estimate.observe(sight, now)
+            here.trials.record_failure(now)
+            if (
+                before
+                <= failure_estimate.SUSPECT_PROBABILITY
+                < here.estimate.failure_probability(now)
+            ):
                 self._turn_away(now, upstream)
             self.lost += at_once and not request.kind.repeatable
         self._hear(now, upstream, request)
-        self.spreadings[request.node].learn(good)
+        self.spreadings[request.node].record(good)
         if not good and request.kind.repeatable and trip.runs < MOST_RUNS:
             self.at(now + ROUND_TRIP_S, self._ask, trip)
         else:
@@ -448,18 +475,18 @@
 
     def _turn_away(self, now: float, upstream: Upstream) -> None:
         """Let those that wait go elsewhere: their upstream turned gray."""
-        for name in list(upstream.gate.line.waiting):
-            upstream.gate.line.leave(name)
-            self._refused(now, upstream, self.trips[name], gate.RISKY)
+        for name in list(upstream.gate.queue.waiting):
+            upstream.gate.queue.remove(name)
+            self._refused(now, upstream, self.trips[name], upstream_gate.RISKY)
 
     def _serve(self, now: float, upstream: Upstream) -> None:
-        for name in upstream.gate.line.start(now):
+        for name in upstream.gate.queue.start_waiting(now):
             self._begin(now, upstream, self.trips[name])
 
 
-def _want(request: Request) -> waiting.Want:
+def _want(request: Request) -> slot_queue.SlotRequest:
     kind = request.kind
-    return waiting.Want(
+    return slot_queue.SlotRequest(
         request.id,
         kind.name,
         request.at + kind.deadline_s,
--- a/carawaystair/decisions.py
+++ b/carawaystair/decisions.py
@@ -46,7 +46,7 @@
     :param load: requests that this node believes to be with it.
     :param candidates: upstreams of the service that take work.
     :param refused: gateways that refused it before, ``UPSTREAM:REASON``
-        each, see ``gateway.hops`` and ``load.rejecting``.
+        each, see ``gateway.hops`` and ``load.rejection``.
     """
 
     id: str
--- a/carawaystair/experiments.py
+++ b/carawaystair/experiments.py
@@ -14,15 +14,15 @@
 from carawaystair.gateway import relay
 from carawaystair.gateway import slots
 from carawaystair.gateway import trips
-from carawaystair.load import estimating
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import returning
-from carawaystair.load import spreading
-from carawaystair.load import trying
-from carawaystair.load import valuing
-from carawaystair.load import waiting
+from carawaystair.load import exploration
+from carawaystair.load import failure_estimate
+from carawaystair.load import rejection
+from carawaystair.load import request_value
+from carawaystair.load import retry_after
+from carawaystair.load import slot_queue
+from carawaystair.load import trial_requests
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 from carawaystair.request import incoming
 
 
@@ -71,43 +71,52 @@
 # What is on when nothing is said, and what stands for it when it is off.
 MECHANISMS = {
     # Learning from failures at all.
-    'estimate': (Part(estimating.Estimate, 'see', _nothing),),
+    'estimate': (Part(failure_estimate.Estimate, 'observe', _nothing),),
     # Fading of what is known.
-    'fading': (Part(estimating, 'FADE_S', 1e9),),
+    'fading': (Part(failure_estimate, 'DECAY_S', 1e9),),
     # Learning how upstreams are as a rule.
-    'usual': (Part(estimating, 'LEARN_S', 1e12),),
+    'usual': (Part(failure_estimate, 'TYPICAL_DECAY_S', 1e12),),
     # The last word of gateways on what a request is worth.
-    'last-word': (Part(gate.Gate, 'worth', _one),),
+    'last-word': (Part(upstream_gate.Gate, 'expected_value', _one),),
     # Upstreams that had no work get some.
-    'trials': (Part(trying.Trials, 'due', _no),),
+    'trials': (Part(trial_requests.Trials, 'due', _no),),
     # Leaving trials of those that fail to what may be repeated.
-    'leave-trials': (Part(trying, 'DOUBTFUL', math.inf),),
+    'leave-trials': (
+        Part(trial_requests, 'RETRYABLE_ONLY_PROBABILITY', math.inf),
+    ),
     # Asking those that nothing was heard of while requests fail.
-    'spread': (Part(spreading, 'MOST_FAILING', math.inf),),
+    'spread': (Part(exploration, 'MAX_FAILURE_SHARE', math.inf),),
     # The same data centre first.
-    'near': (Part(placing, 'NEAR', 0.0), Part(placing, 'NEAR_KB', 0.0)),
+    'near': (
+        Part(upstream_selection, 'SAME_DATA_CENTRE_BONUS', 0.0),
+        Part(upstream_selection, 'BONUS_PER_KB', 0.0),
+    ),
     # The same data centre the more, the more bytes are sent.
-    'near-bytes': (Part(placing, 'NEAR_KB', 0.0),),
+    'near-bytes': (Part(upstream_selection, 'BONUS_PER_KB', 0.0),),
     # Ways through a third node.
-    'detour': (Part(placing, 'DETOUR', 0.0),),
+    'detour': (Part(upstream_selection, 'DETOUR_VALUE_SHARE', 0.0),),
     # Drawing those by lot that are worth the same.
-    'lot': (Part(placing, 'SAME', 0.0),),
+    'lot': (Part(upstream_selection, 'EQUAL_VALUE_MARGIN', 0.0),),
     # Reckoning with slots that are in use.
-    'crowded': (Part(placing, 'CROWDED_S', 0.0),),
+    'crowded': (Part(upstream_selection, 'FULL_SLOTS_WAIT_S', 0.0),),
     # The earlier of two answers in time.
-    'haste': (Part(valuing, 'HASTE', 0.0),),
+    'haste': (Part(request_value, 'EARLINESS_SHARE', 0.0),),
     # Reckoning with what a second run is worth.
-    'again': (Part(placing.Board, '_again', _one),),
+    'again': (
+        Part(upstream_selection.UpstreamSelector, '_retry_value', _one),
+    ),
     # Goals, urgency and deadlines among those that wait.
-    'order': (Part(waiting.Line, 'rank', _same),),
+    'order': (Part(slot_queue.SlotQueue, 'rank', _same),),
     # Rejecting what can't be served.
-    'hopeless': (Part(rejecting, 'hopeless', _no),),
+    'hopeless': (Part(rejection, 'would_miss', _no),),
     # A bound for those that will be late.
-    'late-room': (Part(rejecting, 'LATE_ROOM', math.inf),),
+    'late-room': (Part(rejection, 'LATE_PER_SLOT', math.inf),),
     # Reckoning with those in goal that are yet to come.
-    'overtaking': (Part(waiting.Line, 'late_wait_s', _as_it_is),),
+    'overtaking': (
+        Part(slot_queue.SlotQueue, 'late_expected_wait_s', _as_it_is),
+    ),
     # Reckoning with upstreams that warm up.
-    'cold': (Part(waiting, 'COLD_FACTOR', 1.0),),
+    'cold': (Part(slot_queue, 'WARMUP_FACTOR', 1.0),),
     # What waits leaves an upstream that turns gray.
     'turn-away': (Part(slots.Slots, 'turn_away', _nothing),),
     # The last run that a route allows is spared a failure.
@@ -121,7 +130,7 @@
     # A second run of what is late.
     'hedge': (Part(relay, 'HEDGE_S', 1e9),),
     # Return of the rejected by what the backlog needs.
-    'return': (Part(returning, 'MOST_S', returning.LEAST_S),),
+    'return': (Part(retry_after, 'MAX_S', retry_after.MIN_S),),
 }
 
 
--- a/carawaystair/gateway/detours.py
+++ b/carawaystair/gateway/detours.py
@@ -7,7 +7,7 @@
 from carawaystair.gateway import sends
 from carawaystair.gateway import streaming
 from carawaystair import interfaces
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
@@ -20,7 +20,7 @@
 # Bodies of detours are held whole; longer ones are not sent this way.
 MOST_BODY = bodies.HOLD_BYTES
 # What a node says that knows nothing of an upstream.
-NOTHING = placing.Report('', False, 0, 0, 0, 0, 0, 0)
+NOTHING = upstream_selection.LoadReport('', False, 0, 0, 0, 0, 0, 0)
 
 LOG = logs.get('gateway')
 
--- a/carawaystair/gateway/door.py
+++ b/carawaystair/gateway/door.py
@@ -22,7 +22,7 @@
 from carawaystair.gateway import slots as slots_module
 from carawaystair.gateway import streaming
 from carawaystair.gateway import work as works
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
@@ -244,7 +244,7 @@
 
     def _report(
         self, hop: hops.Hop, request: incoming.Request
-    ) -> placing.Report:
+    ) -> upstream_selection.LoadReport:
         """Return what the sender of a request should know."""
         held_ms = int((clock.now() - request.arrived) * MS)
         report = self.work.report(hop.upstream, hop.route)
--- a/carawaystair/gateway/evidence.py
+++ b/carawaystair/gateway/evidence.py
@@ -4,7 +4,7 @@
 
 from carawaystair import clock
 from carawaystair.gateway import slots as slots_module
-from carawaystair.load import estimating
+from carawaystair.load import failure_estimate
 from carawaystair import logs
 
 # A run that has not failed after so long has been worked on: gray upstreams
@@ -36,7 +36,7 @@
         # Whether it was seen to survive, and to be overdue.
         self.lives = False
         self.late = False
-        expected_s = slots.line.takes_s(route, self.began)
+        expected_s = slots.line.expected_service_s(route, self.began)
         loop = asyncio.get_running_loop()
         self.timers = (
             loop.call_later(SURVIVED_S, self._survived),
@@ -44,12 +44,12 @@
                 max(OVERDUE * expected_s, OVERDUE_S), self._overdue
             ),
         )
-        slots.gate.trials.began(self.began)
+        slots.gate.trials.record_start(self.began)
 
     def _survived(self) -> None:
         if not self.lives:
             self.lives = True
-            self._see(estimating.SURVIVED)
+            self._see(failure_estimate.NOT_FAILED_AT_ONCE)
 
     def _overdue(self) -> None:
         """Count a run that hangs before it ends.
@@ -57,20 +57,20 @@
         Its upstream would get others meanwhile, which hang as well.
         """
         self.late = True
-        self._see(estimating.OVERDUE)
-        self.slots.gate.trials.failed(clock.now())
+        self._see(failure_estimate.OVERDUE)
+        self.slots.gate.trials.record_failure(clock.now())
 
-    def _see(self, sight: estimating.Sight) -> None:
+    def _see(self, sight: failure_estimate.Observation) -> None:
         before = self.slots.failing()
-        self.slots.gate.estimate.see(sight, clock.now())
+        self.slots.gate.estimate.observe(sight, clock.now())
         after = self.slots.failing()
         said = {'upstream': self.upstream, 'failing': round(after, 3)}
-        if before <= estimating.LIKELY < after:
+        if before <= failure_estimate.SUSPECT_PROBABILITY < after:
             LOG.info('An upstream is likely to fail.', **said)
             # It would fail all that wait for it, one after the other, within
             # milliseconds; others may have room for them.
             self.slots.turn_away()
-        elif after <= estimating.LIKELY < before:
+        elif after <= failure_estimate.SUSPECT_PROBABILITY < before:
             LOG.info('An upstream is sound again.', **said)
 
     def stop(self) -> None:
@@ -82,23 +82,23 @@
         """Take note of a good answer."""
         now = clock.now()
         took_s = now - self.began
-        self.slots.line.learn(self.route, self.began, took_s)
+        self.slots.line.record_service_time(self.route, self.began, took_s)
         self._survived()
         if not self.late:
-            self._see(estimating.SUCCEEDED)
-        self.slots.gate.trials.succeeded()
+            self._see(failure_estimate.SUCCEEDED)
+        self.slots.gate.trials.record_success()
 
     def failed(self) -> None:
         """Take note of a failure."""
         now = clock.now()
-        self.slots.gate.trials.failed(now)
+        self.slots.gate.trials.record_failure(now)
         if now - self.began < SURVIVED_S:
-            self._see(estimating.FAILED_AT_ONCE)
+            self._see(failure_estimate.FAILED_AT_ONCE)
             return
         self._survived()
         if not self.late:
-            self._see(estimating.FAILED)
+            self._see(failure_estimate.FAILED)
 
     def shed(self) -> None:
         """Take note that the upstream did not take the request."""
-        self._see(estimating.SHED)
+        self._see(failure_estimate.SHED)
--- a/carawaystair/gateway/front.py
+++ b/carawaystair/gateway/front.py
@@ -335,7 +335,7 @@
         if not status and trip.need.inner:
             self.inner.failed(trip.call.id)
         if not status and trip.need.echo and trip.one_too_many:
-            self.inner.payer.refused(service, clock.now())
+            self.inner.payer.record_refusal(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
                 trip.call.id,
--- a/carawaystair/gateway/handover.py
+++ b/carawaystair/gateway/handover.py
@@ -85,12 +85,12 @@
         :raises answers.Failed: when there is no answer.
         """
         process = self.process(target.upstream.host)
-        usual_s = self.board.durations.of(trip.call.match.key)
-        calm = not self.known.spreadings[trip.need.service].everywhere
+        usual_s = self.board.durations.expected(trip.call.match.key)
+        calm = not self.known.spreadings[trip.need.service].active
         first = trip.hop(
             self.host, target, least, again, paid, calm, usual_s, process
         )
-        view = self.board.view(target.upstream.id)
+        view = self.board.state(target.upstream.id)
         attempt = self._attempt(trip, target, first, not view.reachable)
         lost = trips.Lost(target, process, paid)
         limit_s = RESUME_REPEATABLE_S if trip.call.idempotent else math.inf
@@ -266,8 +266,9 @@
                 signs.doubted(attempt)
                 continue
             signs.seen(attempt)
-            if attempt.signs >= UNASKED_SIGNS and not self.board.knows(
-                attempt.hop.upstream
+            if (
+                attempt.signs >= UNASKED_SIGNS
+                and not self.board.knows_read_time(attempt.hop.upstream)
             ):
                 attempt.proceed()
 
@@ -312,7 +313,7 @@
         if report is not None and report.process:
             now = clock.now()
             route = attempt.hop.route
-            self.board.heard(target.upstream.id, report, now, route)
+            self.board.record_report(target.upstream.id, report, now, route)
             if report.read_ms:
                 its_clock = self.clocks.of(
                     target.upstream.host, report.process
--- a/carawaystair/gateway/hops.py
+++ b/carawaystair/gateway/hops.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
 from carawaystair.request import headers
@@ -27,8 +27,8 @@
 REFUSAL = b'caraway-refusal'
 FAILURE = b'caraway-failure'
 
-# Why a gateway refuses a request, beside the reasons of ``load.rejecting`` and
-# ``load.gate``.
+# Why a gateway refuses a request, beside the reasons of ``load.rejection`` and
+# ``load.upstream_gate``.
 LEAVING = 'leaving'  # the upstream or its node is about to stop
 ABSENT = 'absent'  # no such upstream is announced here
 UNREACHABLE = 'unreachable'  # no connection to the upstream could be made
@@ -81,7 +81,7 @@
         handed to another node on the way; empty otherwise.
     :param trip: tells apart requests that bear one id.
     :param least: what it must be worth here to be taken, in thousandths, see
-        ``load.valuing``; what is not is worth more elsewhere.
+        ``load.request_value``; what is not is worth more elsewhere.
     :param second: what it is worth if it fails here, in thousandths.
     :param calm: whether the sender sees its service served well.
     :param usual_ms: service time of its route, as the sender knows it, ms; 0
@@ -135,7 +135,7 @@
 
 
 _HOPS = msgspec.json.Decoder(Hop)
-_REPORTS = msgspec.json.Decoder(placing.Report)
+_REPORTS = msgspec.json.Decoder(upstream_selection.LoadReport)
 
 
 def call(
@@ -187,12 +187,12 @@
         return None
 
 
-def report_line(report: placing.Report) -> bytes:
+def report_line(report: upstream_selection.LoadReport) -> bytes:
     """Return the header line that carries a report."""
     return b'%b: %b\r\n' % (REPORT, msgspec.json.encode(report))
 
 
-def read_report(value: bytes) -> placing.Report | None:
+def read_report(value: bytes) -> upstream_selection.LoadReport | None:
     """Return the report that :func:`report_line` wrote."""
     try:
         return _REPORTS.decode(value)
@@ -200,13 +200,17 @@
         return None
 
 
-def refusal(reason: str, detail: str, report: placing.Report) -> bytes:
+def refusal(
+    reason: str, detail: str, report: upstream_selection.LoadReport
+) -> bytes:
     """Return the bytes of a refusal."""
     line = report_line(report)
     return _own(b'503 Service Unavailable', REFUSAL, reason, detail, line)
 
 
-def failure(code: str, detail: str, report: placing.Report) -> bytes:
+def failure(
+    code: str, detail: str, report: upstream_selection.LoadReport
+) -> bytes:
     """Return the bytes of a failure.
 
     :param code: label of the code that the caller is told.
--- a/carawaystair/gateway/inner.py
+++ b/carawaystair/gateway/inner.py
@@ -9,7 +9,7 @@
 import collections
 
 from carawaystair import clock
-from carawaystair.load import nesting
+from carawaystair.load import nested_calls
 
 # An upstream answers its own caller so soon after a call of it failed,
 # seconds: it has nothing left to do.
@@ -23,7 +23,7 @@
     :param payer: pays for the calls of repeated runs.
     """
 
-    def __init__(self, payer: nesting.Payer) -> None:
+    def __init__(self, payer: nested_calls.NestedCallBudget) -> None:
         self.payer = payer
         # How many runs of a request are at the upstreams of this host, and
         # the rank of each.
@@ -48,7 +48,7 @@
         self.running[request] += 1
         self.ranks[request] = rank
         self.services[request] = service
-        self.payer.counts.ran(service)
+        self.payer.counts.record_run(service)
         if repeat:
             self.repeated.add(request)
 
@@ -59,7 +59,7 @@
             del self.running[request]
             del self.ranks[request]
             del self.services[request]
-            self.payer.ended(request)
+            self.payer.refund_unused(request)
             self.repeated.discard(request)
 
     def parent(self, request: str) -> str:
@@ -73,8 +73,8 @@
         :param parent: the running request that makes it.
         :param service: the service that is called.
         """
-        self.payer.counts.called(self.services[parent], service)
-        return self.payer.use(parent, service)
+        self.payer.counts.record_call(self.services[parent], service)
+        return self.payer.use_prepaid(parent, service)
 
     def rank(self, call: str, own: int) -> int:
         """Return the rank of a request: that of the one that waits for it, if
--- a/carawaystair/gateway/known.py
+++ b/carawaystair/gateway/known.py
@@ -7,9 +7,9 @@
 from carawaystair import clock
 from carawaystair.gateway import pacer as pacers
 from carawaystair import interfaces
-from carawaystair.load import placing
-from carawaystair.load import spreading
-from carawaystair.load import valuing
+from carawaystair.load import exploration
+from carawaystair.load import request_value
+from carawaystair.load import upstream_selection
 from carawaystair.request import connections
 from carawaystair.request import target as targets
 from carawaystair import routing as routings
@@ -53,10 +53,10 @@
         self.data_centre = data_centre
         self.directory = directory
         self.routing = routing
-        self.board = placing.Board(rng)
+        self.board = upstream_selection.UpstreamSelector(rng)
         self.targets: dict[str, targets.Target] = {}
         self.spreadings: collections.defaultdict = collections.defaultdict(
-            spreading.Spreading
+            exploration.Exploration
         )
         directory.subscribe(self.changed)
 
@@ -85,12 +85,12 @@
             return
         if old.incarnation != new.incarnation:
             target.seen = clock.now()
-            self.board.renew(new.id, new.incarnation)
+            self.board.start_incarnation(new.id, new.incarnation)
         target.upstream = new
 
     def learn(self, service: str, good: bool) -> None:
         """Take note of what became of a request that was run."""
-        self.spreadings[service].learn(good)
+        self.spreadings[service].record(good)
 
     def sweep(self, now: float) -> None:
         """Close connections that were idle for long."""
@@ -115,7 +115,7 @@
             target.pacer = self.pacer
             self.targets[upstream.id] = target
             # Answers of a life that went on elsewhere may still come.
-            self.board.renew(upstream.id, upstream.incarnation)
+            self.board.start_incarnation(upstream.id, upstream.incarnation)
         return target
 
     def choose(
@@ -124,7 +124,7 @@
         tried: typing.Container[str],
         refused: typing.Container[str],
         now: float,
-        need: valuing.Need,
+        need: request_value.Need,
         route: str,
         size: float,
         first: bool,
@@ -150,8 +150,8 @@
         candidates = [
             self._candidate(upstream, now) for upstream in usable.values()
         ]
-        spread = first and self.spreadings[service].everywhere
-        trial = first and not need.last
+        spread = first and self.spreadings[service].active
+        trial = first and not need.final
         chosen = self.board.choose(
             candidates,
             tried,
@@ -166,13 +166,15 @@
         if chosen is None:
             return None
         target = self.target(usable[chosen.candidate.id])
-        return Choice(target, len(usable), chosen.least, chosen.again)
+        return Choice(
+            target, len(usable), chosen.min_value, chosen.retry_value
+        )
 
     def _candidate(
         self, upstream: interfaces.Upstream, now: float
-    ) -> placing.Candidate:
+    ) -> upstream_selection.Candidate:
         target = self.target(upstream)
-        return placing.Candidate(
+        return upstream_selection.Candidate(
             upstream.id,
             upstream.data_centre == self.data_centre,
             upstream.slots,
--- a/carawaystair/gateway/lives.py
+++ b/carawaystair/gateway/lives.py
@@ -46,7 +46,7 @@
         self.slots = slots_module.Slots(process, said.slots)
         now = clock.now()
         self.target = targets.Target(upstream(name, said), now)
-        self.slots.line.cold_until = now + said.warmup_s
+        self.slots.line.warmup_until = now + said.warmup_s
 
     def hear(self, said: registries.Announcement) -> None:
         """Take note of what the upstream says of itself now."""
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -56,7 +56,7 @@
     def __init__(self, pacer: 'Pacer') -> None:
         self.pacer = pacer
         # That of the body, once it has begun.
-        self.place: pacing.Place | None = None
+        self.place: pacing.QueuePosition | None = None
         # Bytes that may go now.
         self.room = 0
         self.ahead_s: float | None = None
@@ -65,8 +65,8 @@
         """Wait until the first bytes may go."""
         if size > pacing.SHORT_BYTES:
             now = clock.now()
-            self.ahead_s = self.pacer.link.ahead_s(now)
-            self.place = self.pacer.link.place(size, now)
+            self.ahead_s = self.pacer.link.backlog_s(now)
+            self.place = self.pacer.link.queue_position(size, now)
             self.room = await self.pacer.turn(self.place, size)
 
     async def pieces(self, data: bytes) -> typing.AsyncIterator[bytes]:
@@ -76,7 +76,7 @@
             yield data
             return
         if place is None:
-            place = self.pacer.link.place(len(data), clock.now())
+            place = self.pacer.link.queue_position(len(data), clock.now())
         start = 0
         while start < len(data):
             if not self.room:
@@ -88,7 +88,7 @@
 
     def end(self) -> None:
         """Give back what was not used."""
-        self.pacer.link.give_back(self.room)
+        self.pacer.link.refund(self.room)
         self.room = 0
 
 
@@ -101,7 +101,7 @@
 
     def __init__(self, host: str, mbps: float) -> None:
         self.host = host
-        self.link = pacing.Link(mbps) if mbps else None
+        self.link = pacing.PacedLink(mbps) if mbps else None
         self.futures: dict[int, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
 
@@ -112,37 +112,37 @@
             return FREE
         return Paced(self)
 
-    async def turn(self, place: pacing.Place, size: int) -> int:
+    async def turn(self, place: pacing.QueuePosition, size: int) -> int:
         """Wait for a turn; return how many bytes may go.
 
         :param place: that of the body.
         :param size: bytes that it has to send.
         """
-        turn = self.link.ask(place, size)
+        turn = self.link.enqueue(place, size)
         future = asyncio.get_running_loop().create_future()
-        self.futures[turn.place.number] = future
+        self.futures[turn.position.number] = future
         self._grant()
         try:
             return await future
         except asyncio.CancelledError:
             if future.cancelled():
-                turn.left = True
+                turn.cancelled = True
             else:
-                self.link.give_back(future.result())
+                self.link.refund(future.result())
                 self._grant()
             raise
         finally:
-            self.futures.pop(turn.place.number, None)
+            self.futures.pop(turn.position.number, None)
 
     def _grant(self) -> None:
         """Give turns as far as there is room; be back when there is more."""
         now = clock.now()
-        while (turn := self.link.first(now)) is not None:
-            future = self.futures[turn.place.number]
+        while (turn := self.link.pop_due(now)) is not None:
+            future = self.futures[turn.position.number]
             # One that was cancelled in this turn of the loop has not said
             # yet that it leaves.
             if not future.done():
-                future.set_result(self.link.take(turn.size, now))
+                future.set_result(self.link.take_chunk(turn.size, now))
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -48,7 +48,7 @@
     def lost(self, target: targets.Target) -> None:
         """Take note that a gateway does not answer on the direct way."""
         name = target.upstream.id
-        self.known.board.view(name).reachable = False
+        self.known.board.state(name).reachable = False
         connections.close_idle(target)
         if name not in self.trials:
             self.trials.add(name)
@@ -66,7 +66,7 @@
                     return
         finally:
             self.trials.discard(name)
-            self.known.board.view(name).reachable = True
+            self.known.board.state(name).reachable = True
 
     def helper(self, target: targets.Target) -> targets.Target | None:
         """Return the gateway of a third host to go through.
@@ -79,12 +79,13 @@
             for other in self.known.targets.values()
             if other.upstream.host not in (target.upstream.host, self.host)
             and other.upstream.state != interfaces.GONE
-            and board.view(other.upstream.id).reachable
+            and board.state(other.upstream.id).reachable
         ]
         if not others:
             return None
         others.sort(
-            key=lambda other: board.view(other.upstream.id).at, reverse=True
+            key=lambda other: board.state(other.upstream.id).reported_at,
+            reverse=True,
         )
         return self.rng.choice(others[:4])
 
--- a/carawaystair/gateway/relay.py
+++ b/carawaystair/gateway/relay.py
@@ -21,12 +21,12 @@
 from carawaystair.gateway import settling as settlings
 from carawaystair.gateway import trips
 from carawaystair import interfaces
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import retrying
-from carawaystair.load import returning
-from carawaystair.load import valuing
+from carawaystair.load import rejection
+from carawaystair.load import request_value
+from carawaystair.load import retry_after
+from carawaystair.load import retry_budget
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 from carawaystair.request import answer as answers
 from carawaystair.request import caller
 from carawaystair.request import target as targets
@@ -51,7 +51,7 @@
 MOST_HEDGES = 3
 MS = 1000
 # Refusals that another question may turn into a run.
-WAITABLE = frozenset((rejecting.BUSY, gate.RISKY))
+WAITABLE = frozenset((rejection.BUSY, upstream_gate.RISKY))
 
 
 class Relay:
@@ -71,7 +71,7 @@
         known: knowns.Known,
         handover: handovers.Handover,
         settling: settlings.Settling,
-        budgets: retrying.Budgets,
+        budgets: retry_budget.Budgets,
         quarantine: interfaces.Quarantine,
         rng: random.Random,
         recorder: decisions.Recorder,
@@ -98,7 +98,9 @@
         if not self.quarantine.may_begin(trip.call.digest):
             raise self._crashing(trip)
         if not trip.need.echo:
-            self.budgets.of(trip.need.service).first(clock.now())
+            self.budgets.for_service(trip.need.service).record_first_send(
+                clock.now()
+            )
         while self._may_send(trip) and trip.offers < MOST_OFFERS:
             choice = await self._next(trip)
             if choice is None:
@@ -206,7 +208,7 @@
         report = declined.report
         if report is None:
             return clock.now() >= trip.call.deadline
-        return rejecting.hopeless(
+        return rejection.would_miss(
             clock.now(),
             report.wait_ms / MS,
             (report.route_ms or report.service_ms) / MS,
@@ -225,11 +227,11 @@
             if declined.report is not None
         ]
         backlog_s = min((r.wait_ms / MS for r in reports), default=0.0)
-        after_s = returning.retry_after_s(backlog_s, self.rng)
+        after_s = retry_after.retry_after_s(backlog_s, self.rng)
         if not trip.declined:
             return caller.Refused(codes.NO_UPSTREAM, '', after_s)
         reasons = sorted({d.reason for _t, d in trip.declined.values()})
-        full = rejecting.FULL in reasons
+        full = rejection.FULL in reasons
         code = codes.QUEUE_FULL if full else codes.DEADLINE_SHORT
         detail = 'least wait %.2f s, %s' % (backlog_s, ', '.join(reasons))
         return caller.Refused(code, detail, after_s)
@@ -257,8 +259,8 @@
         if trip.last or trip.call.body is None:
             return await first
         after_s = math.inf
-        if durations.knows(key):
-            after_s = max(HEDGE_AFTER * durations.of(key), HEDGE_S)
+        if durations.has(key):
+            after_s = max(HEDGE_AFTER * durations.expected(key), HEDGE_S)
         trip.hurry = asyncio.get_running_loop().create_future()
         return await hedging.hedged(
             first,
@@ -299,14 +301,14 @@
         name = upstream.id
         trip.offers += 1
         offer = self._offer(trip, upstream, count, least)
-        view = self.board.view(name)
-        view.mine += 1
+        view = self.board.state(name)
+        view.in_flight += 1
         began = clock.now()
-        budget = self.budgets.of(trip.need.service)
+        budget = self.budgets.for_service(trip.need.service)
         # The first send of a call counts as well where its caller's run is a
         # repeat, unless that was paid for before the run began.
         counts = trip.sent > 0 or (trip.need.echo and not trip.need.paid)
-        paid = counts and budget.repeat(began, 1)
+        paid = counts and budget.take_retry(began, 1)
         counted = paid or (trip.need.paid and trip.sent == 0)
         try:
             answer = await self.handover.exchange(
@@ -315,7 +317,7 @@
         except trips.Declined as declined:
             reached = declined.reason in hops.ARRIVED
             if paid and not reached:
-                budget.give_back(began)
+                budget.refund(began)
             trip.not_run(name, reached)
             self._declined(trip, target, declined)
             return None
@@ -324,7 +326,7 @@
             self._tell_broken(trip, name, failed, began)
             if not failed.sent:
                 if paid:
-                    budget.give_back(began)
+                    budget.refund(began)
                 trip.not_run(name, False)
                 trip.missed.append(target)
                 return None
@@ -335,9 +337,11 @@
                 raise
             return None
         finally:
-            view.mine -= 1
+            view.in_flight -= 1
         bad = answer.status >= 500
-        self.board.sizes.add(trip.call.match.key, answers.size(answer))
+        self.board.answer_sizes.record(
+            trip.call.match.key, answers.size(answer)
+        )
         self.known.learn(trip.need.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
@@ -391,9 +395,11 @@
     ) -> decisions.Offered:
         """Return what is told of an offer, by what is known before it."""
         now = clock.now()
-        view = self.board.view(upstream.id)
+        view = self.board.state(upstream.id)
         known = view.report is not None
-        candidate = placing.Candidate(upstream.id, False, upstream.slots)
+        candidate = upstream_selection.Candidate(
+            upstream.id, False, upstream.slots
+        )
         need = trip.need
         return decisions.Offered(
             trip.call.id,
@@ -406,14 +412,16 @@
             trip.call.idempotent,
             need.inner,
             least is None,
-            int((now - view.at) * MS) if known else -1,
+            int((now - view.reported_at) * MS) if known else -1,
             self.board.load(candidate, now),
             count,
             ' '.join(trip.refusals),
         )
 
 
-def worth_of(report: placing.Report | None, need: valuing.Need) -> float:
+def worth_of(
+    report: upstream_selection.LoadReport | None, need: request_value.Need
+) -> float:
     """Return what a request is worth where it was refused just now, 0 to 1.
 
     :param report: what the gateway said of its upstream.
@@ -422,4 +430,8 @@
         return 0.0
     takes_ms = report.route_ms or report.service_ms
     answer_s = (report.wait_ms + takes_ms) / MS
-    return valuing.worth(placing.told(report, 0.0), answer_s, need)
+    return request_value.expected_value(
+        upstream_selection.reported_failure_probability(report, 0.0),
+        answer_s,
+        need,
+    )
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -21,8 +21,8 @@
 from carawaystair.gateway import splitting
 from carawaystair.gateway import work as works
 from carawaystair import interfaces
-from carawaystair.load import nesting
-from carawaystair.load import retrying
+from carawaystair.load import nested_calls
+from carawaystair.load import retry_budget
 from carawaystair import metrics
 from carawaystair.request import connections
 from carawaystair.request import incoming
@@ -68,13 +68,13 @@
         self.routing = routing
         rng = kernel.random('gateway')
         node = settings.node
-        share = retrying.Budgets(
+        share = retry_budget.Budgets(
             node.retry_ratio,
             0.0,
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        inner = inners.InnerCalls(nesting.Payer(share))
+        inner = inners.InnerCalls(nested_calls.NestedCallBudget(share))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
         self.known = knowns.Known(
             settings.data_centre,
@@ -137,13 +137,13 @@
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the upstreams that last were said to fail."""
-        views = self.known.board.views
+        views = self.known.board.states
         return frozenset(
             upstream.id
             for upstream in self.membership.directory.upstreams(service)
             if upstream.id in views
             and views[upstream.id].report is not None
-            and views[upstream.id].report.suspect
+            and views[upstream.id].report.likely_failing
         )
 
     async def on_start(self) -> None:
@@ -164,7 +164,7 @@
             'lines_left_out_total', self.recorder.room.left_out
         )
         if self.pacer.link is not None:
-            ahead_s = self.pacer.link.ahead_s(clock.now())
+            ahead_s = self.pacer.link.backlog_s(clock.now())
             yield metrics.Sample('link_ahead_seconds', ahead_s)
         for name, slots in self.work.slots.items():
             labels = (('upstream', name),)
@@ -179,23 +179,23 @@
         for service, spread in self.known.spreadings.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'service_failing_share', spread.failing, labels
+                'service_failing_share', spread.failure_share, labels
             )
         for service, budget in self.relay.budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'node_firsts_total', budget.total_firsts, labels
+                'node_firsts_total', budget.total_first_sends, labels
             )
             yield metrics.Sample(
-                'node_repeats_total', budget.total_repeats, labels
+                'node_repeats_total', budget.total_retries, labels
             )
         for service, budget in self.work.budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'gateway_firsts_total', budget.total_firsts, labels
+                'gateway_firsts_total', budget.total_first_sends, labels
             )
             yield metrics.Sample(
-                'gateway_repeats_total', budget.total_repeats, labels
+                'gateway_repeats_total', budget.total_retries, labels
             )
 
     @mode.Service.task
--- a/carawaystair/gateway/trips.py
+++ b/carawaystair/gateway/trips.py
@@ -7,8 +7,8 @@
 
 from carawaystair import clock
 from carawaystair.gateway import hops
-from carawaystair.load import placing
-from carawaystair.load import valuing
+from carawaystair.load import request_value
+from carawaystair.load import upstream_selection
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
 from carawaystair.request import target as targets
@@ -26,7 +26,9 @@
     :param report: what the gateway says of its upstream.
     """
 
-    def __init__(self, reason: str, report: placing.Report | None) -> None:
+    def __init__(
+        self, reason: str, report: upstream_selection.LoadReport | None
+    ) -> None:
         super().__init__(reason)
         self.reason = reason
         self.report = report
@@ -182,9 +184,9 @@
         runs_out = self.runs + 1 >= self.need.most_runs
         return runs_out or not self.call.idempotent or self.sent > 0
 
-    def needs(self, now: float) -> valuing.Need:
+    def needs(self, now: float) -> request_value.Need:
         """Return what it needs now."""
-        return valuing.Need(
+        return request_value.Need(
             self.need.goal - now, self.call.deadline - now, self.last
         )
 
--- a/carawaystair/gateway/work.py
+++ b/carawaystair/gateway/work.py
@@ -14,10 +14,10 @@
 from carawaystair.gateway import sends
 from carawaystair.gateway import slots as slots_module
 from carawaystair import interfaces
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import retrying
-from carawaystair.load import waiting
+from carawaystair.load import retry_budget
+from carawaystair.load import slot_queue
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.membership import registry as registries
 from carawaystair.quarantine import crashes as crashes_module
@@ -83,7 +83,7 @@
         self.crashes = crashes_module.Crashes(quarantine)
         self.recorder = recorder
         # Nodes have the share of their own first sends; here is the slack.
-        self.budgets = retrying.Budgets(
+        self.budgets = retry_budget.Budgets(
             0.0,
             settings.node.retry_slack,
             settings.node.retry_window_s,
@@ -204,7 +204,7 @@
         left_s = hop.left_ms / MS if hop.left_ms >= 0 else -math.inf
         call = hops.call(hop, request, None, now + left_s)
         goal = now + hop.goal_ms / MS if hop.goal_ms >= 0 else now
-        want = waiting.Want(
+        want = slot_queue.SlotRequest(
             hop.key, hop.route, call.deadline, goal, hop.priority, hop.inner
         )
         trial = self._is_trial(hop, slots, want, now)
@@ -259,7 +259,10 @@
                 release()
 
     async def _wait(
-        self, hop: hops.Hop, life: lives_module.Life, want: waiting.Want
+        self,
+        hop: hops.Hop,
+        life: lives_module.Life,
+        want: slot_queue.SlotRequest,
     ) -> float:
         """Wait for a slot; return the seconds that it took.
 
@@ -299,7 +302,7 @@
         self,
         hop: hops.Hop,
         slots: slots_module.Slots,
-        want: waiting.Want,
+        want: slot_queue.SlotRequest,
         now: float,
     ) -> bool:
         """Tell whether a request runs here only for what it shows.
@@ -308,7 +311,7 @@
         """
         if hop.stays:
             return False
-        offer = gate.Offer(
+        offer = upstream_gate.Offer(
             hop.last or hop.repeat or not hop.idempotent,
             hop.repeat,
             hop.second / THOUSAND,
@@ -328,8 +331,8 @@
         """
         if not _takes_slack(hop):
             return
-        budget = self.budgets.of(hop.service)
-        if not budget.repeat(now, self._sharers(hop.service)):
+        budget = self.budgets.for_service(hop.service)
+        if not budget.take_retry(now, self._sharers(hop.service)):
             raise slots_module.Refused(hops.SPENT, 'slack')
 
     def _give_back(self, hop: hops.Hop, taken_at: float) -> None:
@@ -339,7 +342,7 @@
         takes one away, and those that find a slot are refused.
         """
         if _takes_slack(hop):
-            self.budgets.of(hop.service).give_back(taken_at)
+            self.budgets.for_service(hop.service).refund(taken_at)
 
     def _check_crashing(
         self, hop: hops.Hop, slots: slots_module.Slots | None = None
@@ -353,7 +356,7 @@
             return
         if slots is not None:
             slots.free(hop.key)
-        lives = self.quarantine.standing(hop.digest).lives
+        lives = self.quarantine.standing(hop.digest).incarnations
         raise slots_module.Refused(hops.CRASHING, ' '.join(lives))
 
     def _pay_calls(self, hop: hops.Hop, slots: slots_module.Slots) -> None:
@@ -362,14 +365,16 @@
         :raises slots.Refused: when they can't be paid; its slot is freed.
         """
         payer = self.inner.payer
-        if hop.repeat and not payer.pay(hop.id, hop.service, clock.now()):
+        if hop.repeat and not payer.prepay(hop.id, hop.service, clock.now()):
             slots.free(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
 
     def _count(self, hop: hops.Hop) -> None:
         """Count a request that goes to its upstream now."""
         if not hop.repeat and not hop.echo:
-            self.budgets.of(hop.service).first(clock.now())
+            self.budgets.for_service(hop.service).record_first_send(
+                clock.now()
+            )
 
     def _sharers(self, service: str) -> int:
         """Return how many gateways share the repeats of a service.
@@ -524,7 +529,9 @@
         else:
             evidence.failed()
 
-    def report(self, upstream: str, route: str = '') -> placing.Report:
+    def report(
+        self, upstream: str, route: str = ''
+    ) -> upstream_selection.LoadReport:
         """Return what other nodes should know of an upstream."""
         life = self.lives.get(upstream)
         if life is None:
--- a/carawaystair/interfaces.py
+++ b/carawaystair/interfaces.py
@@ -10,7 +10,7 @@
 import expression
 
 from carawaystair import codes
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 
 # States of an upstream, as it announces them itself.
 UP = 'up'
@@ -287,7 +287,7 @@
 class Quarantine(typing.Protocol):
     """Knows of requests that crash upstreams, by their digests."""
 
-    def standing(self, digest: str) -> crashing.Standing:
+    def standing(self, digest: str) -> crash_suspects.Standing:
         """Return what is known of a request."""
 
     def refuses(self, digest: str) -> bool:
--- a/carawaystair/load/crashing.py
+++ b/carawaystair/load/crash_suspects.py
@@ -25,25 +25,25 @@
 # Crashes of other upstreams under one request after which it is refused.  Two
 # may be chance: a request that was beside the one at fault is repeated and may
 # meet it again.
-LIMIT = 3
+CRASH_LIMIT = 3
 # A refused request may be tried again so long after its last crash, seconds;
 # twice as long after each further crash, and after so many of them for long.
 HOLD_S = 60.0
-MOST_FURTHER = 3
+MAX_DOUBLINGS = 3
 LONG_HOLD_S = 3600.0
 # A request that is suspected but not refused is forgotten after so long, and a
 # refused one so long after it may be tried again, seconds.
-KEEP_S = 600.0
+RETENTION_S = 600.0
 # Requests that are known, the part of them that gives way when there are more,
 # and crashes of each.
-MOST_SUSPECTS = 1024
-DROPPED = 16
-MOST_CRASHES = 8
+MAX_SUSPECTS = 1024
+EVICTION_DIVISOR = 16
+MAX_CRASHES = 8
 # Requests that ended well lately, and for how long that counts, seconds.
-MOST_SOUND = 4096
-SOUND_S = 10.0
+MAX_SUCCESSES = 4096
+SUCCESS_WINDOW_S = 10.0
 # The shortest and the longest text that names a request or an upstream.
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 
 
 class Fact(typing.NamedTuple):
@@ -58,7 +58,7 @@
     """
 
     digest: str
-    life: str
+    incarnation: str
     age_ms: int
     cleared: bool
     request: str
@@ -74,7 +74,7 @@
     :param proven: whether the upstream had served anything since its start.
     """
 
-    at: float
+    crashed_at: float
     cleared: bool
     request: str
     proven: bool
@@ -96,7 +96,7 @@
     cleared: int = 0
     age_s: float = 0.0
     refused_s: float = 0.0
-    lives: tuple[str, ...] = ()
+    incarnations: tuple[str, ...] = ()
     request: str = ''
 
 
@@ -110,13 +110,15 @@
     :param hold_s: seconds for which it is.
     """
 
-    def __init__(self, limit: int = LIMIT, hold_s: float = HOLD_S) -> None:
+    def __init__(
+        self, limit: int = CRASH_LIMIT, hold_s: float = HOLD_S
+    ) -> None:
         self.limit = limit
         self.hold_s = hold_s
         # By digest, then by the upstream that crashed.
         self.crashes: dict[str, dict[str, Crash]] = {}
         # When each request last ended well at this process.
-        self.sound: collections.OrderedDict[str, float] = (
+        self.succeeded_at: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
@@ -125,16 +127,16 @@
         known = self.crashes.get(digest)
         if known is None:
             return UNKNOWN
-        held = _held(known)
+        held = _blaming(known)
         cleared = sum(crash.cleared for crash in known.values())
         if not held:
             return Standing(0, cleared)
         last = max(held.values())
-        refused_s = max(last.at + self._hold_s(len(held)) - now, 0.0)
+        refused_s = max(last.crashed_at + self._hold_s(len(held)) - now, 0.0)
         return Standing(
             len(held),
             cleared,
-            now - last.at,
+            now - last.crashed_at,
             refused_s,
             tuple(held),
             last.request,
@@ -149,21 +151,26 @@
     def on_trial(self, digest: str) -> bool:
         """Tell whether a request may run only to show how it does now."""
         known = self.crashes.get(digest)
-        return known is not None and len(_held(known)) >= self.limit
+        return known is not None and len(_blaming(known)) >= self.limit
 
-    def learn(self, fact: Fact, now: float) -> bool:
+    def add(self, fact: Fact, now: float) -> bool:
         """Take in a fact; tell whether it is news."""
-        if not _readable(fact) or fact.age_ms / 1000 > self._longest_s():
+        if (
+            not _well_formed(fact)
+            or fact.age_ms / 1000 > self._max_retention_s()
+        ):
             return False
         known = self.crashes.setdefault(fact.digest, {})
-        old = known.get(fact.life)
+        old = known.get(fact.incarnation)
         if old is not None and (old.cleared or not fact.cleared):
             return False
-        at = now - fact.age_ms / 1000 if old is None else old.at
-        known[fact.life] = Crash(at, fact.cleared, fact.request, fact.proven)
-        return self._bound(fact, known)
+        at = now - fact.age_ms / 1000 if old is None else old.crashed_at
+        known[fact.incarnation] = Crash(
+            at, fact.cleared, fact.request, fact.proven
+        )
+        return self._evict(fact, known)
 
-    def crashed(
+    def crash_facts(
         self, life: str, requests: typing.Mapping[str, str], proven: bool
     ) -> tuple[Fact, ...]:
         """Return the facts of a crash.
@@ -176,19 +183,22 @@
             for digest, request in requests.items()
         )
 
-    def ended_well(self, digest: str, now: float) -> tuple[Fact, ...]:
+    def record_success(self, digest: str, now: float) -> tuple[Fact, ...]:
         """Take note of a good answer; return what it clears a request of."""
-        self.sound.pop(digest, None)
-        self.sound[digest] = now
-        if len(self.sound) > MOST_SOUND:
-            self.sound.popitem(last=False)
-        return self.clearing(digest, now)
+        self.succeeded_at.pop(digest, None)
+        self.succeeded_at[digest] = now
+        if len(self.succeeded_at) > MAX_SUCCESSES:
+            self.succeeded_at.popitem(last=False)
+        return self.clearing_facts(digest, now)
 
-    def was_sound(self, digest: str, now: float) -> bool:
+    def recently_succeeded(self, digest: str, now: float) -> bool:
         """Tell whether a request ended well at this process of late."""
-        return now - self.sound.get(digest, -SOUND_S) < SOUND_S
+        return (
+            now - self.succeeded_at.get(digest, -SUCCESS_WINDOW_S)
+            < SUCCESS_WINDOW_S
+        )
 
-    def clearing(self, digest: str, now: float) -> tuple[Fact, ...]:
+    def clearing_facts(self, digest: str, now: float) -> tuple[Fact, ...]:
         """Return the facts that clear a request of all that is known."""
         return tuple(
             fact._replace(cleared=True)
@@ -199,7 +209,7 @@
     def facts(self, digest: str, now: float) -> typing.Iterator[Fact]:
         """Yield what is known of a request, as it travels."""
         for life, crash in self.crashes.get(digest, {}).items():
-            age_ms = int((now - crash.at) * 1000)
+            age_ms = int((now - crash.crashed_at) * 1000)
             yield Fact(digest, life, age_ms, *crash[1:])
 
     def all_facts(self, now: float) -> list[Fact]:
@@ -207,12 +217,12 @@
         found = (self.facts(digest, now) for digest in self.crashes)
         return list(itertools.chain.from_iterable(found))
 
-    def forget(self, now: float) -> list[str]:
+    def expire(self, now: float) -> list[str]:
         """Forget what is too old; return the digests."""
         old = [
             digest
             for digest, known in self.crashes.items()
-            if now - max(known.values()).at > self._kept_s(known)
+            if now - max(known.values()).crashed_at > self._retention_s(known)
         ]
         for digest in old:
             del self.crashes[digest]
@@ -223,47 +233,49 @@
         further = crashes - self.limit
         if further < 0:
             return 0.0
-        if further >= MOST_FURTHER:
+        if further >= MAX_DOUBLINGS:
             return max(LONG_HOLD_S, self.hold_s)
         return self.hold_s * 2**further
 
-    def _kept_s(self, known: dict[str, Crash]) -> float:
-        return KEEP_S + self._hold_s(len(_held(known)))
+    def _retention_s(self, known: dict[str, Crash]) -> float:
+        return RETENTION_S + self._hold_s(len(_blaming(known)))
 
-    def _longest_s(self) -> float:
-        return KEEP_S + self._hold_s(MOST_CRASHES)
+    def _max_retention_s(self) -> float:
+        return RETENTION_S + self._hold_s(MAX_CRASHES)
 
-    def _bound(self, fact: Fact, known: dict[str, Crash]) -> bool:
+    def _evict(self, fact: Fact, known: dict[str, Crash]) -> bool:
         """Drop what says least; tell whether a new fact stayed.
 
         All processes drop in the same order, so that none takes again and
         passes on for ever what another one has dropped.
         """
-        if len(known) > MOST_CRASHES:
+        if len(known) > MAX_CRASHES:
             del known[
                 min(known, key=lambda n: (not known[n].cleared, known[n]))
             ]
-        if len(self.crashes) > MOST_SUSPECTS:
+        if len(self.crashes) > MAX_SUSPECTS:
             # Many at once: finding the least takes a look at all.
-            count = max(MOST_SUSPECTS // DROPPED, 1)
-            least = heapq.nsmallest(count, self.crashes, key=self._weight)
+            count = max(MAX_SUSPECTS // EVICTION_DIVISOR, 1)
+            least = heapq.nsmallest(
+                count, self.crashes, key=self._eviction_order
+            )
             for digest in least:
                 del self.crashes[digest]
-        return fact.life in self.crashes.get(fact.digest, {})
+        return fact.incarnation in self.crashes.get(fact.digest, {})
 
-    def _weight(self, digest: str) -> tuple[int, float]:
+    def _eviction_order(self, digest: str) -> tuple[int, float]:
         """Return what orders the requests that are known."""
         known = self.crashes[digest]
-        return len(_held(known)), max(known.values()).at
+        return len(_blaming(known)), max(known.values()).crashed_at
 
 
-def _held(known: dict[str, Crash]) -> dict[str, Crash]:
+def _blaming(known: dict[str, Crash]) -> dict[str, Crash]:
     """Return the crashes that a request may be at fault for, by upstream."""
     held = {life: crash for life, crash in known.items() if not crash.cleared}
     return held if any(crash.proven for crash in held.values()) else {}
 
 
-def _readable(fact: Fact) -> bool:
-    names = (fact.digest, fact.life)
-    fine = all(0 < len(name) <= MOST_NAME for name in names)
-    return fine and fact.age_ms >= 0 and len(fact.request) <= MOST_NAME
+def _well_formed(fact: Fact) -> bool:
+    names = (fact.digest, fact.incarnation)
+    fine = all(0 < len(name) <= MAX_NAME_LENGTH for name in names)
+    return fine and fact.age_ms >= 0 and len(fact.request) <= MAX_NAME_LENGTH
--- a/carawaystair/load/spreading.py
+++ b/carawaystair/load/exploration.py
@@ -10,29 +10,29 @@
 
 # Weight of one outcome in the running share of failures: about twenty count,
 # so that one or two failures of a sound service don't look like more.
-NEW_SHARE = 0.05
+NEW_OUTCOME_WEIGHT = 0.05
 # Above this share of failures a node looks further.
-MOST_FAILING = 0.1
+MAX_FAILURE_SHARE = 0.1
 # What is taken for the share before any outcome was seen, and how many
 # outcomes that counts for: right after a start all are asked.
-FIRST_GUESS = 0.2
-FIRST_COUNT = 5
+INITIAL_FAILURE_SHARE = 0.2
+INITIAL_OUTCOMES = 5
 
 
-class Spreading:
+class Exploration:
     """What became of one node's requests to one service."""
 
     def __init__(self) -> None:
-        self.failing = FIRST_GUESS
-        self.seen = FIRST_COUNT
+        self.failure_share = INITIAL_FAILURE_SHARE
+        self.outcomes = INITIAL_OUTCOMES
 
     @property
-    def everywhere(self) -> bool:
+    def active(self) -> bool:
         """Tell whether the node looks further now."""
-        return self.failing > MOST_FAILING
+        return self.failure_share > MAX_FAILURE_SHARE
 
-    def learn(self, good: bool) -> None:
+    def record(self, good: bool) -> None:
         """Take note of an outcome."""
-        self.seen += 1
-        weight = max(NEW_SHARE, 1 / self.seen)
-        self.failing += weight * ((not good) - self.failing)
+        self.outcomes += 1
+        weight = max(NEW_OUTCOME_WEIGHT, 1 / self.outcomes)
+        self.failure_share += weight * ((not good) - self.failure_share)
--- a/carawaystair/load/estimating.py
+++ b/carawaystair/load/failure_estimate.py
@@ -16,44 +16,46 @@
 import typing
 
 # The states.
-SOUND, FLAKY, GRAY = range(3)
+HEALTHY, FLAKY, GRAY = range(3)
 
 # How much of what is known now still holds after so long, seconds.
-FADE_S = 4.0
+DECAY_S = 4.0
 # What the states of a service's upstreams are as a rule is learnt over so
 # long, seconds; some spells of trouble.
-LEARN_S = 60.0
+TYPICAL_DECAY_S = 60.0
 # And what is taken for it before anything was seen.
-FIRST_GUESS = (0.85, 0.03, 0.12)
+INITIAL_PROBABILITIES = (0.85, 0.03, 0.12)
 # A state is never ruled out further than this: what was seen is seconds old.
-LEAST = 0.01
+MIN_PROBABILITY = 0.01
 # Above this chance an upstream is said to be likely to fail.
-LIKELY = 0.5
+SUSPECT_PROBABILITY = 0.5
 
 
-class Sight(typing.NamedTuple):
+class Observation(typing.NamedTuple):
     """Something that is seen of a run, and how likely it is in each state.
 
     :param likely: by state.
     """
 
-    likely: tuple[float, float, float]
+    likelihoods: tuple[float, float, float]
 
 
 # A run fails before it can have been worked on, or survives that.
-FAILED_AT_ONCE = Sight((0.003, 0.02, 0.80))
-SURVIVED = Sight((0.997, 0.98, 0.20))
+FAILED_AT_ONCE = Observation((0.003, 0.02, 0.80))
+NOT_FAILED_AT_ONCE = Observation((0.997, 0.98, 0.20))
 # One that survived fails, takes far longer than its route does, or succeeds.
-FAILED = Sight((0.015, 0.40, 0.30))
-OVERDUE = Sight((0.03, 0.30, 0.60))
-SUCCEEDED = Sight((0.985, 0.60, 0.70))
+FAILED = Observation((0.015, 0.40, 0.30))
+OVERDUE = Observation((0.03, 0.30, 0.60))
+SUCCEEDED = Observation((0.985, 0.60, 0.70))
 # It sheds a request, which has not run.  All of a service may shed a part at
 # once, so that one tells little; some in a row show one that takes nothing.
-SHED = Sight((0.15, 0.30, 0.50))
+SHED = Observation((0.15, 0.30, 0.50))
 # What each state fails of the requests that it gets.
-FAILING = tuple(
+FAILURE_PROBABILITIES = tuple(
     1.0 - survived * succeeded
-    for survived, succeeded in zip(SURVIVED.likely, SUCCEEDED.likely)
+    for survived, succeeded in zip(
+        NOT_FAILED_AT_ONCE.likelihoods, SUCCEEDED.likelihoods
+    )
 )
 
 
@@ -61,61 +63,81 @@
     """What is known of one upstream's state."""
 
     def __init__(self) -> None:
-        self.states = FIRST_GUESS
+        self.state_probabilities = INITIAL_PROBABILITIES
         # How likely each state is as a rule.
-        self.usual = FIRST_GUESS
-        self.at = 0.0
+        self.typical_probabilities = INITIAL_PROBABILITIES
+        self.updated_at = 0.0
 
-    def see(self, sight: Sight, now: float) -> None:
+    def observe(self, sight: Observation, now: float) -> None:
         """Take note of something that was seen of a run."""
-        self._move(now)
+        self._advance(now)
         weights = [
-            max(state, LEAST) * likely
-            for state, likely in zip(self.states, sight.likely)
+            max(state, MIN_PROBABILITY) * likely
+            for state, likely in zip(
+                self.state_probabilities, sight.likelihoods
+            )
         ]
         total = sum(weights)
-        self.states = tuple(weight / total for weight in weights)
+        self.state_probabilities = tuple(weight / total for weight in weights)
 
-    def failing(self, now: float) -> float:
+    def failure_probability(self, now: float) -> float:
         """Return how likely the next request fails, 0 to 1."""
-        faded = _faded(self.states, self.usual, now - self.at)
-        return chance(faded)
+        faded = _decayed(
+            self.state_probabilities,
+            self.typical_probabilities,
+            now - self.updated_at,
+        )
+        return mean_failure_probability(faded)
 
-    def usually(self) -> float:
+    def typical_failure_probability(self) -> float:
         """Return the same for an upstream of which nothing is known."""
-        return chance(self.usual)
+        return mean_failure_probability(self.typical_probabilities)
 
-    def _move(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         """Let what is known fade until now, and learn from how it was."""
-        passed_s = max(now - self.at, 0.0)
-        share = 1.0 - math.exp(-passed_s / LEARN_S) if self.at else 0.0
-        self.usual = tuple(
+        passed_s = max(now - self.updated_at, 0.0)
+        share = (
+            1.0 - math.exp(-passed_s / TYPICAL_DECAY_S)
+            if self.updated_at
+            else 0.0
+        )
+        self.typical_probabilities = tuple(
             usual + share * (state - usual)
-            for usual, state in zip(self.usual, self.states)
+            for usual, state in zip(
+                self.typical_probabilities, self.state_probabilities
+            )
         )
-        self.states = _faded(self.states, self.usual, passed_s)
-        self.at = now
+        self.state_probabilities = _decayed(
+            self.state_probabilities, self.typical_probabilities, passed_s
+        )
+        self.updated_at = now
 
 
-def _faded(states, usual, passed_s: float) -> tuple:
-    keep = math.exp(-max(passed_s, 0.0) / FADE_S)
+def _decayed(states, usual, passed_s: float) -> tuple:
+    keep = math.exp(-max(passed_s, 0.0) / DECAY_S)
     return tuple(
         rule + keep * (state - rule) for state, rule in zip(states, usual)
     )
 
 
-def chance(states: typing.Sequence[float]) -> float:
+def mean_failure_probability(states: typing.Sequence[float]) -> float:
     """Return how likely a request fails, by how likely each state is."""
-    return sum(state * fails for state, fails in zip(states, FAILING))
+    return sum(
+        state * fails for state, fails in zip(states, FAILURE_PROBABILITIES)
+    )
 
 
-def aged(failing: float, usual: float, age_s: float) -> float:
+def decayed_failure_probability(
+    failing: float, usual: float, age_s: float
+) -> float:
     """Return what a chance to fail that was told some time ago says now.
 
     :param usual: that of an upstream of which nothing is known.
     """
-    return usual + math.exp(-max(age_s, 0.0) / FADE_S) * (failing - usual)
+    return usual + math.exp(-max(age_s, 0.0) / DECAY_S) * (failing - usual)
 
 
 # What is taken for the chance to fail before anything was seen.
-UNKNOWN = chance(FIRST_GUESS)
+UNOBSERVED_FAILURE_PROBABILITY = mean_failure_probability(
+    INITIAL_PROBABILITIES
+)
--- a/carawaystair/load/nesting.py
+++ b/carawaystair/load/nested_calls.py
@@ -14,17 +14,17 @@
 import math
 import typing
 
-from carawaystair.load import retrying
+from carawaystair.load import retry_budget
 
 # No run begins for so long, seconds, that rests on a slack that was spent.
-PAUSE_S = 2.0
+REFUSAL_PAUSE_S = 2.0
 # Calls that fewer runs make than this share are not paid for in advance.
-RARE = 0.05
+MIN_CALL_SHARE = 0.05
 # Counts are halved once so many runs were seen, so that they follow changes.
-MOST_RUNS = 512
+MAX_RUNS = 512
 
 
-class Paid(typing.NamedTuple):
+class PrepaidCall(typing.NamedTuple):
     """A call that was paid for and not made yet.
 
     :param service: the service that is called.
@@ -33,8 +33,8 @@
     """
 
     service: str
-    budget: retrying.Budget
-    at: float
+    budget: retry_budget.Budget
+    taken_at: float
 
 
 class CallCounts:
@@ -44,22 +44,22 @@
         self.runs: collections.Counter = collections.Counter()
         self.calls: dict[str, collections.Counter] = {}
 
-    def ran(self, service: str) -> None:
+    def record_run(self, service: str) -> None:
         """Count a run of a service."""
         self.runs[service] += 1
-        if self.runs[service] >= MOST_RUNS:
+        if self.runs[service] >= MAX_RUNS:
             self.runs[service] //= 2
             halved = self.calls.get(service, {})
             self.calls[service] = collections.Counter(
                 {name: count / 2 for name, count in halved.items()}
             )
 
-    def called(self, service: str, other: str) -> None:
+    def record_call(self, service: str, other: str) -> None:
         """Count a call that a run of a service made to another one."""
         calls = self.calls.setdefault(service, collections.Counter())
         calls[other] += 1
 
-    def expected(self, service: str) -> dict[str, int]:
+    def expected_calls(self, service: str) -> dict[str, int]:
         """Return the calls to expect of one run, by the service called."""
         runs = max(self.runs[service], 1)
         shares = {
@@ -67,69 +67,69 @@
             for name, count in self.calls.get(service, {}).items()
         }
         return {
-            name: math.ceil(share - RARE)
+            name: math.ceil(share - MIN_CALL_SHARE)
             for name, share in shares.items()
-            if share > RARE
+            if share > MIN_CALL_SHARE
         }
 
 
-class Payer:
+class NestedCallBudget:
     """Takes calls of repeated runs out of the bound of the called services.
 
-    :param share: the repeats that the calls of this host earn.
+    :param budgets: the repeats that the calls of this host earn.
     """
 
-    def __init__(self, share: retrying.Budgets) -> None:
-        self.share = share
+    def __init__(self, budgets: retry_budget.Budgets) -> None:
+        self.budgets = budgets
         self.counts = CallCounts()
         # By request, what was paid and not used yet.
-        self.paid: dict[str, list[Paid]] = {}
+        self.paid: dict[str, list[PrepaidCall]] = {}
         # Services that had no repeats left, and when that was.
-        self.spent_at: dict[str, float] = {}
+        self.refused_at: dict[str, float] = {}
 
-    def pay(self, request: str, service: str, now: float) -> bool:
+    def prepay(self, request: str, service: str, now: float) -> bool:
         """Pay for the calls of a repeat that is about to run.
 
         :param request: its id.
         :param service: the service that runs it.
         :return: whether it may begin; otherwise nothing is paid.
         """
-        taken: list[Paid] = []
-        for called, count in self.counts.expected(service).items():
-            budget = self.share.of(called)
+        taken: list[PrepaidCall] = []
+        for called, count in self.counts.expected_calls(service).items():
+            budget = self.budgets.for_service(called)
             for _call in range(count):
-                if budget.repeat(now, 1):
-                    taken.append(Paid(called, budget, now))
-                elif not self._may_find_slack(called, now):
-                    _give_back(taken)
+                if budget.take_retry(now, 1):
+                    taken.append(PrepaidCall(called, budget, now))
+                elif not self._slack_expected(called, now):
+                    _refund(taken)
                     return False
         if taken:
             self.paid.setdefault(request, []).extend(taken)
         return True
 
-    def _may_find_slack(self, service: str, now: float) -> bool:
-        return now - self.spent_at.get(service, -math.inf) >= PAUSE_S
+    def _slack_expected(self, service: str, now: float) -> bool:
+        return now - self.refused_at.get(service, -math.inf) >= REFUSAL_PAUSE_S
 
-    def refused(self, service: str, now: float) -> None:
+    def record_refusal(self, service: str, now: float) -> None:
         """Take note that a call found no slack at the called service."""
-        self.spent_at[service] = now
+        self.refused_at[service] = now
 
-    def use(self, request: str, service: str) -> bool:
+    def use_prepaid(self, request: str, service: str) -> bool:
         """Use one of the calls paid for; tell whether there was one.
 
         :param request: the running request that makes the call.
         """
-        paid = self.paid.get(request, [])
-        found = [one for one in paid if one.service == service]
+        prepaid = self.paid.get(request, [])
+        found = [one for one in prepaid if one.service == service]
         if found:
-            paid.remove(found[0])
+            prepaid.remove(found[0])
         return bool(found)
 
-    def ended(self, request: str) -> None:
+    def refund_unused(self, request: str) -> None:
         """Give back what was paid for calls that a run did not make."""
-        _give_back(self.paid.pop(request, []))
+        _refund(self.paid.pop(request, []))
 
 
-def _give_back(taken: typing.Iterable[Paid]) -> None:
+def _refund(taken: typing.Iterable[PrepaidCall]) -> None:
     for one in taken:
-        one.budget.give_back(one.at)
+        one.budget.refund(one.taken_at)
--- a/carawaystair/load/rejecting.py
+++ b/carawaystair/load/rejection.py
@@ -18,10 +18,10 @@
 # slots: what an upstream works off in two service times.  With room for one,
 # what found none while most of a service was gray was tried where it fails;
 # with room for four, more is held and not served after all than is gained.
-LATE_ROOM = 2
+LATE_PER_SLOT = 2
 # Requests that may wait at one upstream, whatever their deadlines: memory is
 # bounded although callers may ask for long deadlines.
-MOST_WAITING = 256
+MAX_WAITING = 256
 
 # Why a request is refused before it was run.
 BUSY = 'busy'  # no free slot, and the request may not wait here
@@ -29,7 +29,7 @@
 FULL = 'full'  # too many wait already
 
 
-def hopeless(
+def would_miss(
     now: float, wait_s: float, service_s: float, deadline: float
 ) -> bool:
     """Tell whether an answer before the deadline is unlikely.
@@ -41,7 +41,7 @@
     return now + MARGIN * (wait_s + service_s) > deadline
 
 
-def last_start(service_s: float, deadline: float) -> float:
+def latest_start(service_s: float, deadline: float) -> float:
     """Return until when a start still promises an answer in time.
 
     Work that begins later is likely to be cut, so that waiting any longer
--- a/carawaystair/load/valuing.py
+++ b/carawaystair/load/request_value.py
@@ -12,17 +12,17 @@
 import typing
 
 # An answer after its goal is worth this part of one in time.
-LATE_WORTH = 0.3
+LATE_VALUE = 0.3
 # What an answer loses on the way to its goal, as a part of its worth: of two
 # that are both in time the earlier one is better.
-HASTE = 0.15
+EARLINESS_SHARE = 0.15
 # Service times vary by half of their mean: an answer that should come before
 # the first of these parts of its time is in time, one after the second late.
-SURELY = 0.7
-HARDLY = 1.3
+SURELY_IN_TIME = 0.7
+HARDLY_IN_TIME = 1.3
 # A request that failed is worth this part of what it would be worth at the
 # best upstream now: the time has passed, and that one may have turned gray.
-AGAIN = 0.9
+RETRY_VALUE_SHARE = 0.9
 
 
 class Need(typing.NamedTuple):
@@ -35,32 +35,39 @@
     """
 
     goal_s: float
-    left_s: float
-    last: bool
-    again: float = 0.0
+    remaining_s: float
+    final: bool
+    retry_value: float = 0.0
 
 
-def in_time(answer_s: float, need: Need) -> float:
+def answer_value(answer_s: float, need: Need) -> float:
     """Return what an answer in so many seconds is worth, 0 to 1."""
-    if answer_s >= need.left_s:
+    if answer_s >= need.remaining_s:
         return 0.0
-    soon = 1.0 - HASTE
-    surely_s, hardly_s = SURELY * need.goal_s, HARDLY * need.goal_s
+    soon = 1.0 - EARLINESS_SHARE
+    surely_s, hardly_s = (
+        SURELY_IN_TIME * need.goal_s,
+        HARDLY_IN_TIME * need.goal_s,
+    )
     if answer_s <= surely_s:
-        return 1.0 - HASTE * answer_s / surely_s
+        return 1.0 - EARLINESS_SHARE * answer_s / surely_s
     if answer_s <= hardly_s:
         passed = (answer_s - surely_s) / (hardly_s - surely_s)
-        return soon + passed * (LATE_WORTH - soon)
+        return soon + passed * (LATE_VALUE - soon)
     # Later than late: what may still go wrong grows until the deadline.
     late_s = max(hardly_s, 0.0)
-    return LATE_WORTH * (need.left_s - answer_s) / (need.left_s - late_s)
+    return (
+        LATE_VALUE
+        * (need.remaining_s - answer_s)
+        / (need.remaining_s - late_s)
+    )
 
 
-def worth(failing: float, answer_s: float, need: Need) -> float:
+def expected_value(failing: float, answer_s: float, need: Need) -> float:
     """Return what it is worth to send a request to an upstream, 0 to 1.
 
     :param failing: how likely it fails there.
     :param answer_s: seconds until an answer should come, the wait included.
     """
-    again = 0.0 if need.last else need.again
-    return (1.0 - failing) * in_time(answer_s, need) + failing * again
+    again = 0.0 if need.final else need.retry_value
+    return (1.0 - failing) * answer_value(answer_s, need) + failing * again
--- a/carawaystair/load/returning.py
+++ b/carawaystair/load/retry_after.py
@@ -10,9 +10,9 @@
 
 # No caller is sent away for less, seconds: a round trip and one short
 # request take about as long.
-LEAST_S = 0.2
+MIN_S = 0.2
 # Nor for longer where the backlog is not known.
-MOST_S = 5.0
+MAX_S = 5.0
 
 
 def retry_after_s(backlog_s: float, rng: random.Random) -> float:
@@ -20,5 +20,5 @@
 
     :param backlog_s: time until the least loaded upstream has a free slot.
     """
-    base = min(max(backlog_s, LEAST_S), MOST_S)
+    base = min(max(backlog_s, MIN_S), MAX_S)
     return base * rng.uniform(1.0, 2.0)
--- a/carawaystair/load/retrying.py
+++ b/carawaystair/load/retry_budget.py
@@ -34,10 +34,10 @@
 # The share of its part that a gateway may use in the first window after its
 # start: USED_SLACK * (1 + FIRST_SHARE) of it are spent at worst around a start
 # of all.  What is left is for parts rounded up.
-FIRST_SHARE = 0.75
+RESTART_SHARE = 0.75
 # A gateway that starts reckons with so many others that share the slack, since
 # it may know none of them yet.
-FIRST_NODES = 12
+ASSUMED_NODES = 12
 
 
 class Budget:
@@ -52,14 +52,14 @@
 
     __slots__ = (
         'began',
-        'firsts',
+        'first_sends',
         'ratio',
         'refused',
-        'repeats',
+        'retries',
         'rounding',
         'slack',
-        'total_firsts',
-        'total_repeats',
+        'total_first_sends',
+        'total_retries',
         'window_s',
     )
 
@@ -76,30 +76,30 @@
         self.window_s = window_s
         self.rounding = rounding
         self.began = began
-        self.firsts: collections.deque = collections.deque()
-        self.repeats: collections.deque = collections.deque()
+        self.first_sends: collections.deque = collections.deque()
+        self.retries: collections.deque = collections.deque()
         # For metrics.
-        self.total_firsts = 0
-        self.total_repeats = 0
+        self.total_first_sends = 0
+        self.total_retries = 0
         self.refused = 0
 
-    def first(self, now: float) -> None:
+    def record_first_send(self, now: float) -> None:
         """Count the first send of a request."""
-        self.total_firsts += 1
-        _add(self.firsts, now)
+        self.total_first_sends += 1
+        _add(self.first_sends, now)
 
-    def may_repeat(self, now: float, nodes: int) -> bool:
+    def allows_retry(self, now: float, nodes: int) -> bool:
         """Tell whether one more repeat stays within the bound.
 
         :param nodes: nodes that share the slack.
         """
-        _forget(self.firsts, now - self.window_s)
+        _drop_before(self.first_sends, now - self.window_s)
         # A span of repeats counts until all of it has passed.
-        _forget(self.repeats, now - self.window_s - SPAN_S)
-        earned = USED_SHARE * self.ratio * _sum(self.firsts)
-        return _sum(self.repeats) + 1 <= earned + self._part(now, nodes)
+        _drop_before(self.retries, now - self.window_s - SPAN_S)
+        earned = USED_SHARE * self.ratio * _sum(self.first_sends)
+        return _sum(self.retries) + 1 <= earned + self._slack_part(now, nodes)
 
-    def _part(self, now: float, nodes: int) -> float:
+    def _slack_part(self, now: float, nodes: int) -> float:
         """Return what this part of the slack allows in a window."""
         used = USED_SLACK * self.slack
         part = used / max(nodes, 1)
@@ -108,29 +108,29 @@
             return part + self.rounding
         # Rounded together with what the former process may have spent.
         spent = math.floor(part + self.rounding)
-        most = math.floor((1 + FIRST_SHARE) * part + self.rounding) - spent
-        return min(most, used / FIRST_NODES + age * part + self.rounding)
+        most = math.floor((1 + RESTART_SHARE) * part + self.rounding) - spent
+        return min(most, used / ASSUMED_NODES + age * part + self.rounding)
 
-    def repeat(self, now: float, nodes: int) -> bool:
+    def take_retry(self, now: float, nodes: int) -> bool:
         """Take one repeat from the budget; tell whether there was one."""
-        if not self.may_repeat(now, nodes):
+        if not self.allows_retry(now, nodes):
             self.refused += 1
             return False
-        self.total_repeats += 1
-        _add(self.repeats, now)
+        self.total_retries += 1
+        _add(self.retries, now)
         return True
 
-    def give_back(self, taken_at: float) -> None:
+    def refund(self, taken_at: float) -> None:
         """Put back a repeat that was taken: it reached nobody.
 
         :param taken_at: when it was taken.  One that was taken since stays
             counted for the whole window.
         """
         span = _span(taken_at)
-        found = [one for one in self.repeats if one[0] == span and one[1]]
+        found = [one for one in self.retries if one[0] == span and one[1]]
         if found:
             found[0][1] -= 1
-            self.total_repeats -= 1
+            self.total_retries -= 1
 
 
 class Budgets:
@@ -158,7 +158,7 @@
         self.began = began
         self.budgets: dict[str, Budget] = {}
 
-    def of(self, service: str) -> Budget:
+    def for_service(self, service: str) -> Budget:
         """Return the repeats of a service."""
         found = self.budgets.get(service)
         if found is None:
@@ -190,7 +190,7 @@
     return int(now / SPAN_S)
 
 
-def _forget(spans: collections.deque, before: float) -> None:
+def _drop_before(spans: collections.deque, before: float) -> None:
     while spans and spans[0][0] * SPAN_S < before:
         spans.popleft()
 
--- a/carawaystair/load/means.py
+++ b/carawaystair/load/route_means.py
@@ -2,12 +2,12 @@
 
 # Weight of a new value in the running mean: about ten count, so that a change
 # shows within some seconds.
-NEW_SHARE = 0.15
+NEW_VALUE_WEIGHT = 0.15
 # Routes whose means are remembered.
-MOST_ROUTES = 512
+MAX_ROUTES = 512
 
 
-class Means:
+class RouteMeans:
     """Means by route, and over all routes.
 
     :param first: what is expected where nothing has been seen yet.
@@ -17,18 +17,18 @@
         self.means: dict[str, float] = {}
         self.mean = first
 
-    def add(self, route: str, value: float) -> None:
+    def record(self, route: str, value: float) -> None:
         """Take note of one value."""
         old = self.means.pop(route, value)
-        self.means[route] = old + NEW_SHARE * (value - old)
-        self.mean += NEW_SHARE * (value - self.mean)
-        if len(self.means) > MOST_ROUTES:
+        self.means[route] = old + NEW_VALUE_WEIGHT * (value - old)
+        self.mean += NEW_VALUE_WEIGHT * (value - self.mean)
+        if len(self.means) > MAX_ROUTES:
             del self.means[next(iter(self.means))]
 
-    def knows(self, route: str) -> bool:
+    def has(self, route: str) -> bool:
         """Tell whether a value of a route was seen."""
         return route in self.means
 
-    def of(self, route: str) -> float:
+    def expected(self, route: str) -> float:
         """Return what is expected of a route."""
         return self.means.get(route, self.mean)
--- a/carawaystair/load/gate.py
+++ b/carawaystair/load/upstream_gate.py
@@ -9,17 +9,17 @@
 import math
 import typing
 
-from carawaystair.load import estimating
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import trying
-from carawaystair.load import valuing
-from carawaystair.load import waiting
+from carawaystair.load import failure_estimate
+from carawaystair.load import rejection
+from carawaystair.load import request_value
+from carawaystair.load import slot_queue
+from carawaystair.load import trial_requests
+from carawaystair.load import upstream_selection
 
 MS = 1000
 THOUSAND = 1000
 # Ages beyond this are all the same, seconds.
-MOST_AGE_S = 60.0
+MAX_AGE_S = 60.0
 # Why a request is refused: it is worth more elsewhere, as far as is known.
 RISKY = 'risky'
 
@@ -36,12 +36,12 @@
         0 where it does not.
     """
 
-    last: bool
-    repeat: bool
-    again: float
-    least: float
-    calm: bool
-    usual_s: float
+    final: bool
+    retry: bool
+    retry_value: float
+    min_value: float
+    service_healthy: bool
+    usual_service_s: float
 
 
 class Answer(typing.NamedTuple):
@@ -64,72 +64,90 @@
     """
 
     def __init__(self, slots: int) -> None:
-        self.line = waiting.Line(slots)
-        self.estimate = estimating.Estimate()
-        self.trials = trying.Trials()
+        self.queue = slot_queue.SlotQueue(slots)
+        self.estimate = failure_estimate.Estimate()
+        self.trials = trial_requests.Trials()
 
-    def answer(self, offer: Offer, want: waiting.Want, now: float) -> Answer:
+    def answer(
+        self, offer: Offer, want: slot_queue.SlotRequest, now: float
+    ) -> Answer:
         """Decide on a request that does not stay here at any price."""
-        line = self.line
-        if not offer.last:
-            self.trials.offered(now)
-        if line.running >= line.slots or line.waiting:
+        queue = self.queue
+        if not offer.final:
+            self.trials.record_offer(now)
+        if queue.running >= queue.slots or queue.waiting:
             # Another upstream may have a free slot.
-            return Answer(rejecting.BUSY)
-        worth = self.worth(offer, want, now)
-        if worth >= offer.least:
+            return Answer(rejection.BUSY)
+        worth = self.expected_value(offer, want, now)
+        if worth >= offer.min_value:
             return Answer('')
-        failing = self.estimate.failing(now)
+        failing = self.estimate.failure_probability(now)
         # A repeat is no trial: it must not fail again.
-        if not offer.repeat and self.trials.due(
-            not offer.last, failing, offer.calm, now
+        if not offer.retry and self.trials.due(
+            not offer.final, failing, offer.service_healthy, now
         ):
             return Answer('', True)
         detail = 'worth %.2f of %.2f, fails %.2f' % (
             worth,
-            offer.least,
+            offer.min_value,
             failing,
         )
         return Answer(RISKY, False, detail)
 
-    def worth(self, offer: Offer, want: waiting.Want, now: float) -> float:
+    def expected_value(
+        self, offer: Offer, want: slot_queue.SlotRequest, now: float
+    ) -> float:
         """Return what it is worth to run a request here, 0 to 1.
 
         Of the service times that are known the longer one counts: what
         little an upstream has done may have been short by chance.
         """
-        service_s = max(self.line.takes_s(want.route, now), offer.usual_s)
-        answer_s = self.line.wait_s(want, now) + service_s
-        need = valuing.Need(
-            want.goal - now, want.deadline - now, offer.last, offer.again
+        service_s = max(
+            self.queue.expected_service_s(want.route, now),
+            offer.usual_service_s,
+        )
+        answer_s = self.queue.expected_wait_s(want, now) + service_s
+        need = request_value.Need(
+            want.goal - now,
+            want.deadline - now,
+            offer.final,
+            offer.retry_value,
+        )
+        return request_value.expected_value(
+            self.estimate.failure_probability(now), answer_s, need
         )
-        return valuing.worth(self.estimate.failing(now), answer_s, need)
 
     def idle_s(self, now: float) -> float:
         """Return how long no run has begun, seconds."""
-        return min(self.trials.idle_s(now), MOST_AGE_S)
+        return min(self.trials.idle_s(now), MAX_AGE_S)
 
-    def report(self, process: str, route: str, now: float) -> placing.Report:
+    def report(
+        self, process: str, route: str, now: float
+    ) -> upstream_selection.LoadReport:
         """Return what other nodes should know.
 
         :param process: names the start of this process.
         :param route: key of the route that was asked for.
         """
-        line = self.line
-        failing = self.estimate.failing(now)
-        seen = line.durations.knows(route)
+        queue = self.queue
+        failing = self.estimate.failure_probability(now)
+        seen = queue.durations.has(route)
         # One more request that is neither urgent nor late.
-        wait_s = line.wait_s(waiting.Want('', route, math.inf), now)
-        return placing.Report(
+        wait_s = queue.expected_wait_s(
+            slot_queue.SlotRequest('', route, math.inf), now
+        )
+        return upstream_selection.LoadReport(
             process,
-            failing > estimating.LIKELY,
-            line.running,
-            len(line.waiting),
-            line.slots,
+            failing > failure_estimate.SUSPECT_PROBABILITY,
+            queue.running,
+            len(queue.waiting),
+            queue.slots,
             int(wait_s * MS),
-            int(line.durations.mean * MS),
+            int(queue.durations.mean * MS),
             int(self.idle_s(now) * MS),
-            int(line.takes_s(route, now) * MS) if seen else 0,
-            failing=int(failing * THOUSAND),
-            usual=int(self.estimate.usually() * THOUSAND),
+            int(queue.expected_service_s(route, now) * MS) if seen else 0,
+            failure_permille=int(failing * THOUSAND),
+            typical_failure_permille=int(
+                self.estimate.typical_failure_probability() * THOUSAND
+            ),
         )
--- a/carawaystair/load/placing.py
+++ b/carawaystair/load/upstream_selection.py
@@ -15,35 +15,35 @@
 import random
 import typing
 
-from carawaystair.load import estimating
-from carawaystair.load import means
-from carawaystair.load import valuing
-from carawaystair.load import waiting
+from carawaystair.load import failure_estimate
+from carawaystair.load import request_value
+from carawaystair.load import route_means
+from carawaystair.load import slot_queue
 
 # What a gateway said of its load fades over so long, seconds; about one
 # service time.
-LOAD_FADE_S = 0.5
+LOAD_DECAY_S = 0.5
 # An upstream whose slots are all in use, as far as is known, should make a
 # request wait for so long if that is so, seconds.
-CROWDED_S = 0.3
+FULL_SLOTS_WAIT_S = 0.3
 # What a node heard of an upstream so long ago or longer tells it no more than
 # nothing does, seconds: whether others had work for it since is not known.
-HEARD_S = 1.0
+UNKNOWN_IDLE_S = 1.0
 # An upstream in the same data centre may be worth so much less, and for each
 # KB of a request and its answer so much more, up to a bound: bytes between
 # data centres cost time and money.
-NEAR = 0.01
-NEAR_KB = 0.002
-NEAR_MOST = 0.15
+SAME_DATA_CENTRE_BONUS = 0.01
+BONUS_PER_KB = 0.002
+MAX_BONUS = 0.15
 # An upstream whose gateway can't be reached directly is worth this part of
 # what it would be: the way through a third node may fail as well.
-DETOUR = 0.5
+DETOUR_VALUE_SHARE = 0.5
 # Upstreams that are worth so nearly the same are drawn by lot.  Were the best
 # one taken, all that a node sends would meet it until its next report.
-SAME = 0.02
+EQUAL_VALUE_MARGIN = 0.02
 
 
-class Report(typing.NamedTuple):
+class LoadReport(typing.NamedTuple):
     """What a gateway says of its upstream, with every answer.
 
     :param process: names the start of the gateway's process.
@@ -67,7 +67,7 @@
     """
 
     process: str
-    suspect: bool
+    likely_failing: bool
     running: int
     waiting: int
     slots: int
@@ -76,8 +76,10 @@
     idle_ms: int
     route_ms: int = 0
     incarnation: int = 0
-    failing: int = -1
-    usual: int = int(1000 * estimating.UNKNOWN)
+    failure_permille: int = -1
+    typical_failure_permille: int = int(
+        1000 * failure_estimate.UNOBSERVED_FAILURE_PROBABILITY
+    )
     read_ms: int = 0
 
 
@@ -91,9 +93,9 @@
     """
 
     id: str
-    near: bool
+    same_data_centre: bool
     slots: int
-    cold: bool = False
+    warming_up: bool = False
 
 
 class Choice(typing.NamedTuple):
@@ -105,29 +107,36 @@
     """
 
     candidate: Candidate
-    least: float
-    again: float = 0.0
+    min_value: float
+    retry_value: float = 0.0
 
 
-class View:
+class UpstreamState:
     """What this node knows of one upstream."""
 
-    __slots__ = ('at', 'incarnation', 'mine', 'reachable', 'report', 'route')
+    __slots__ = (
+        'in_flight',
+        'incarnation',
+        'reachable',
+        'report',
+        'reported_at',
+        'route',
+    )
 
     def __init__(self, incarnation: int = 0) -> None:
         # The life that it is about, 0 while that is not known.
         self.incarnation = incarnation
-        self.report: Report | None = None
+        self.report: LoadReport | None = None
         # Key of the route that it was told for, and when.
         self.route = ''
-        self.at = 0.0
+        self.reported_at = 0.0
         # Requests of this node that are with it now.
-        self.mine = 0
+        self.in_flight = 0
         # Whether its gateway answers on the direct way.
         self.reachable = True
 
 
-class Board:
+class UpstreamSelector:
     """What this node knows of all upstreams that it sends to.
 
     :param rng: the source of randomness.
@@ -135,45 +144,45 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.views: dict[str, View] = {}
+        self.states: dict[str, UpstreamState] = {}
         # Service times of routes, as all upstreams tell them.
-        self.durations = waiting.durations()
+        self.durations = slot_queue.durations()
         # And the bytes of their answers.
-        self.sizes = means.Means(0.0)
+        self.answer_sizes = route_means.RouteMeans(0.0)
 
-    def view(self, upstream: str) -> View:
+    def state(self, upstream: str) -> UpstreamState:
         """Return what is known of an upstream."""
-        found = self.views.get(upstream)
+        found = self.states.get(upstream)
         if found is None:
-            found = self.views[upstream] = View()
+            found = self.states[upstream] = UpstreamState()
         return found
 
-    def knows(self, upstream: str) -> bool:
+    def knows_read_time(self, upstream: str) -> bool:
         """Tell whether a gateway has said when it reads its requests."""
-        view = self.views.get(upstream)
+        view = self.states.get(upstream)
         report = None if view is None else view.report
         return report is not None and report.read_ms > 0
 
     def forget(self, upstream: str) -> None:
         """Forget an upstream that is gone."""
-        self.views.pop(upstream, None)
+        self.states.pop(upstream, None)
 
-    def renew(self, upstream: str, incarnation: int) -> None:
+    def start_incarnation(self, upstream: str, incarnation: int) -> None:
         """Begin anew with an upstream of which a newer life is known.
 
         Requests that are with the former life count no more; only whether
         its gateway answers is not the upstream's.
         """
-        former = self.view(upstream)
+        former = self.state(upstream)
         if not former.incarnation:
             former.incarnation = incarnation
         if incarnation <= former.incarnation:
             return
-        view = self.views[upstream] = View(incarnation)
+        view = self.states[upstream] = UpstreamState(incarnation)
         view.reachable = former.reachable
 
-    def heard(
-        self, upstream: str, report: Report, now: float, route: str = ''
+    def record_report(
+        self, upstream: str, report: LoadReport, now: float, route: str = ''
     ) -> None:
         """Take note of a report.
 
@@ -182,15 +191,15 @@
         :param route: key of the route that was asked for.
         """
         if report.incarnation:
-            self.renew(upstream, report.incarnation)
-        view = self.view(upstream)
+            self.start_incarnation(upstream, report.incarnation)
+        view = self.state(upstream)
         if report.incarnation < view.incarnation:
             return
         view.report = report
         view.route = route
-        view.at = now
+        view.reported_at = now
         if report.route_ms:
-            self.durations.add(route, report.route_ms / 1000)
+            self.durations.record(route, report.route_ms / 1000)
 
     def choose(
         self,
@@ -198,7 +207,7 @@
         tried: typing.Container[str],
         refused: typing.Container[str],
         now: float,
-        need: valuing.Need,
+        need: request_value.Need,
         route: str = '',
         size: float = 0.0,
         trial: bool = False,
@@ -219,11 +228,14 @@
             an equal chance.
         """
         candidates = list(candidates)
-        need = need._replace(again=self._again(candidates, need, now, route))
-        near = self._near(route, size)
+        need = need._replace(
+            retry_value=self._retry_value(candidates, need, now, route)
+        )
+        near = self._data_centre_bonus(route, size)
         rated = [
             (
-                self.worth(one, need, now, route) + near * one.near,
+                self.expected_value(one, need, now, route)
+                + near * one.same_data_centre,
                 one,
             )
             for one in candidates
@@ -237,14 +249,14 @@
             return None
         chosen = self._draw(left, best, now, trial, spread)
         others = [worth for worth, one in left if one.id != chosen.id]
-        least = max(others + known, default=0.0) - SAME
-        least -= near * chosen.near
-        return Choice(chosen, max(least, 0.0), need.again)
+        least = max(others + known, default=0.0) - EQUAL_VALUE_MARGIN
+        least -= near * chosen.same_data_centre
+        return Choice(chosen, max(least, 0.0), need.retry_value)
 
-    def _again(
+    def _retry_value(
         self,
         candidates: typing.Iterable[Candidate],
-        need: valuing.Need,
+        need: request_value.Need,
         now: float,
         route: str,
     ) -> float:
@@ -252,14 +264,14 @@
 
         While upstreams have room, nearly all; when they are full, little.
         """
-        if need.last:
+        if need.final:
             return 0.0
-        last = need._replace(last=True)
+        last = need._replace(final=True)
         best = max(
-            (self.worth(one, last, now, route) for one in candidates),
+            (self.expected_value(one, last, now, route) for one in candidates),
             default=0.0,
         )
-        return valuing.AGAIN * best
+        return request_value.RETRY_VALUE_SHARE * best
 
     def _draw(
         self,
@@ -270,22 +282,24 @@
         spread: bool,
     ) -> Candidate:
         """Draw one of those that are worth the same, or of the unknown."""
-        same = [one for worth, one in left if worth >= best - SAME]
+        same = [
+            one for worth, one in left if worth >= best - EQUAL_VALUE_MARGIN
+        ]
         if not trial and not spread:
             return self.rng.choice(same)
         unknown = [
             one
             for worth, one in left
-            if self.heard_s(one, now) >= HEARD_S and self._reaches(one)
+            if self.idle_s(one, now) >= UNKNOWN_IDLE_S and self._reachable(one)
         ]
         if trial:
             return self.rng.choice(unknown or same)
         return self.rng.choice([*unknown, self.rng.choice(same)])
 
-    def worth(
+    def expected_value(
         self,
         candidate: Candidate,
-        need: valuing.Need,
+        need: request_value.Need,
         now: float,
         route: str = '',
     ) -> float:
@@ -293,67 +307,77 @@
 
         :param route: key of its route.
         """
-        view = self.views.get(candidate.id)
+        view = self.states.get(candidate.id)
         report = None if view is None else view.report
-        failing = estimating.UNKNOWN
-        service_s = self.durations.of(route)
+        failing = failure_estimate.UNOBSERVED_FAILURE_PROBABILITY
+        service_s = self.durations.expected(route)
         if report is not None:
-            failing = told(report, now - view.at)
+            failing = reported_failure_probability(
+                report, now - view.reported_at
+            )
             if view.route == route and report.route_ms:
                 service_s = report.route_ms / 1000
-        if candidate.cold:
+        if candidate.warming_up:
             service_s = max(
-                service_s, waiting.COLD_FACTOR * self.durations.of(route)
+                service_s,
+                slot_queue.WARMUP_FACTOR * self.durations.expected(route),
             )
-        answer_s = self.wait_s(candidate, now) + service_s
-        worth = valuing.worth(failing, answer_s, need)
-        return worth if self._reaches(candidate) else DETOUR * worth
+        answer_s = self.expected_wait_s(candidate, now) + service_s
+        worth = request_value.expected_value(failing, answer_s, need)
+        return (
+            worth if self._reachable(candidate) else DETOUR_VALUE_SHARE * worth
+        )
 
-    def _near(self, route: str, size: float) -> float:
+    def _data_centre_bonus(self, route: str, size: float) -> float:
         """Return what the same data centre is worth to a request."""
-        kilobytes = (size + self.sizes.of(route)) / 1024
-        return min(NEAR + NEAR_KB * kilobytes, NEAR_MOST)
+        kilobytes = (size + self.answer_sizes.expected(route)) / 1024
+        return min(
+            SAME_DATA_CENTRE_BONUS + BONUS_PER_KB * kilobytes, MAX_BONUS
+        )
 
-    def _reaches(self, candidate: Candidate) -> bool:
-        view = self.views.get(candidate.id)
+    def _reachable(self, candidate: Candidate) -> bool:
+        view = self.states.get(candidate.id)
         return view is None or view.reachable
 
-    def wait_s(self, candidate: Candidate, now: float) -> float:
+    def expected_wait_s(self, candidate: Candidate, now: float) -> float:
         """Return how long a request should wait for a slot, seconds."""
-        view = self.views.get(candidate.id)
+        view = self.states.get(candidate.id)
         if view is None:
             return 0.0
         slots = max(candidate.slots, 1)
-        crowded_s = CROWDED_S * view.mine / slots
+        crowded_s = FULL_SLOTS_WAIT_S * view.in_flight / slots
         if view.report is None:
             return crowded_s
-        fade = math.exp((view.at - now) / LOAD_FADE_S)
-        load = max(view.report.running + view.report.waiting, view.mine)
-        return fade * view.report.wait_ms / 1000 + CROWDED_S * load / slots
+        fade = math.exp((view.reported_at - now) / LOAD_DECAY_S)
+        load = max(view.report.running + view.report.waiting, view.in_flight)
+        return (
+            fade * view.report.wait_ms / 1000
+            + FULL_SLOTS_WAIT_S * load / slots
+        )
 
     def load(self, candidate: Candidate, now: float) -> int:
         """Return the requests that are with an upstream, as far as known."""
-        view = self.views.get(candidate.id)
+        view = self.states.get(candidate.id)
         if view is None:
             return 0
-        if view.report is None or now - view.at > LOAD_FADE_S:
-            return view.mine
-        return max(view.report.running + view.report.waiting, view.mine)
+        if view.report is None or now - view.reported_at > LOAD_DECAY_S:
+            return view.in_flight
+        return max(view.report.running + view.report.waiting, view.in_flight)
 
-    def heard_s(self, candidate: Candidate, now: float) -> float:
+    def idle_s(self, candidate: Candidate, now: float) -> float:
         """Return how long nothing is known of work at an upstream, seconds."""
-        view = self.views.get(candidate.id)
+        view = self.states.get(candidate.id)
         if view is None or view.report is None:
             return math.inf
-        return view.report.idle_ms / 1000 + now - view.at
+        return view.report.idle_ms / 1000 + now - view.reported_at
 
 
-def told(report: Report, age_s: float) -> float:
+def reported_failure_probability(report: LoadReport, age_s: float) -> float:
     """Return how likely an upstream fails, by a report of that age."""
-    usual = report.usual / 1000
-    if report.failing < 0:
+    usual = report.typical_failure_permille / 1000
+    if report.failure_permille < 0:
         # A gateway of an older version says only this.
-        failing = 1.0 - usual if report.suspect else usual
+        failing = 1.0 - usual if report.likely_failing else usual
     else:
-        failing = report.failing / 1000
-    return estimating.aged(failing, usual, age_s)
+        failing = report.failure_permille / 1000
+    return failure_estimate.decayed_failure_probability(failing, usual, age_s)
--- a/carawaystair/quarantine/__init__.py
+++ b/carawaystair/quarantine/__init__.py
@@ -1,8 +1,9 @@
 """Requests that crash upstreams, known to all processes of the fleet.
 
 A gateway that sees its upstream crash tells the others which requests that
-was running.  What that means is decided in ``load.crashing``; here is how it
-spreads, how it is told in logs and metrics, and how an operator sees it.
+was running.  What that means is decided in ``load.crash_suspects``; here is
+how it spreads, how it is told in logs and metrics, and how an operator sees
+it.
 """
 
 from carawaystair.quarantine import service
--- a/carawaystair/quarantine/messages.py
+++ b/carawaystair/quarantine/messages.py
@@ -5,7 +5,7 @@
 
 import typing
 
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair import wire
 
 
@@ -17,7 +17,7 @@
     :param asks: whether the sender wants all that the other one knows.
     """
 
-    facts: tuple[crashing.Fact, ...]
+    facts: tuple[crash_suspects.Fact, ...]
     asks: bool = False
 
 
@@ -28,4 +28,4 @@
     :param facts: what was asked for.
     """
 
-    facts: tuple[crashing.Fact, ...] = ()
+    facts: tuple[crash_suspects.Fact, ...] = ()
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -10,7 +10,7 @@
 from carawaystair import codes
 from carawaystair import decisions
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair import localapi
 from carawaystair import metrics
 from carawaystair.quarantine import spread
@@ -66,7 +66,9 @@
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
-        self.suspects = crashing.Suspects(node.crash_limit, node.crash_hold_s)
+        self.suspects = crash_suspects.Suspects(
+            node.crash_limit, node.crash_hold_s
+        )
         self.members = members
         self.recorder = recorder
         # When this process last let a request run on trial.
@@ -86,14 +88,14 @@
         """Forget what is too old."""
         while not self.should_stop:
             await self.sleep(SWEEP_S)
-            for digest in self.suspects.forget(clock.now()):
+            for digest in self.suspects.expire(clock.now()):
                 self.trials.pop(digest, None)
             for digest in list(self.refused):
                 self._check(digest, 'its time is over')
 
     # What the request path asks and tells
 
-    def standing(self, digest: str) -> crashing.Standing:
+    def standing(self, digest: str) -> crash_suspects.Standing:
         """Return what is known of a request."""
         return self.suspects.standing(digest, clock.now())
 
@@ -143,7 +145,7 @@
         :param how: what shows that it crashed.
         """
         self.counts['crashes'] += 1
-        facts = self.suspects.crashed(life, requests, proven)
+        facts = self.suspects.crash_facts(life, requests, proven)
         self._learn(facts, HERE)
         for fact in facts:
             standing = self.standing(fact.digest)
@@ -163,7 +165,7 @@
     def ended_well(self, digest: str) -> None:
         """Take note that a request was answered well."""
         if digest:
-            facts = self.suspects.ended_well(digest, clock.now())
+            facts = self.suspects.record_success(digest, clock.now())
             self._clear(facts, 'it ended well')
 
     def clear(self, digest: str) -> int:
@@ -171,12 +173,12 @@
 
         It may run again until further upstreams crash under it.
         """
-        facts = self.suspects.clearing(digest, clock.now())
+        facts = self.suspects.clearing_facts(digest, clock.now())
         self._clear(facts, 'an operator cleared it')
         return len(facts)
 
     def _clear(
-        self, facts: typing.Collection[crashing.Fact], why: str
+        self, facts: typing.Collection[crash_suspects.Fact], why: str
     ) -> None:
         if facts:
             self._learn(facts, HERE, why)
@@ -185,7 +187,7 @@
 
     def known(
         self, keys: typing.Collection[spread.Key]
-    ) -> list[crashing.Fact]:
+    ) -> list[crash_suspects.Fact]:
         """Return facts that are still known."""
         now = clock.now()
         wanted = set(keys)
@@ -193,41 +195,46 @@
             fact
             for digest in dict.fromkeys(digest for digest, _life in keys)
             for fact in self.suspects.facts(digest, now)
-            if (fact.digest, fact.life) in wanted
+            if (fact.digest, fact.incarnation) in wanted
         ]
 
-    def all_known(self) -> list[crashing.Fact]:
+    def all_known(self) -> list[crash_suspects.Fact]:
         """Return all facts, those of refused requests first."""
         facts = self.suspects.all_facts(clock.now())
         return sorted(facts, key=lambda f: f.digest not in self.refused)
 
-    def take(self, sender: str, facts: typing.Iterable[crashing.Fact]) -> None:
+    def take(
+        self, sender: str, facts: typing.Iterable[crash_suspects.Fact]
+    ) -> None:
         """Take facts that another process told."""
         self._learn(facts, sender)
 
     def _learn(
-        self, facts: typing.Iterable[crashing.Fact], sender: str, why: str = ''
+        self,
+        facts: typing.Iterable[crash_suspects.Fact],
+        sender: str,
+        why: str = '',
     ) -> None:
         """Take facts in, and pass on what is news."""
         now = clock.now()
         facts = list(facts)
-        news = [fact for fact in facts if self.suspects.learn(fact, now)]
+        news = [fact for fact in facts if self.suspects.add(fact, now)]
         self.counts['facts'] += len(facts)
         self.counts['doubled'] += len(facts) - len(news)
         if not news:
             return
         but = '' if sender == HERE else sender
-        self.spread.pass_on([(f.digest, f.life) for f in news], but)
+        self.spread.pass_on([(f.digest, f.incarnation) for f in news], but)
         for digest in dict.fromkeys(fact.digest for fact in news):
             self._clear_if_sound(digest, now)
             self._check(digest, why or 'told by %s' % sender)
 
     def _clear_if_sound(self, digest: str, now: float) -> None:
         """Clear a request that this process has seen to end well of late."""
-        if not self.suspects.was_sound(digest, now):
+        if not self.suspects.recently_succeeded(digest, now):
             return
         if self.suspects.standing(digest, now).crashes >= DOUBTED:
-            facts = self.suspects.clearing(digest, now)
+            facts = self.suspects.clearing_facts(digest, now)
             self._clear(facts, 'it ended well here of late')
 
     def _check(self, digest: str, why: str) -> None:
@@ -249,7 +256,7 @@
             why,
             standing.crashes,
             standing.cleared,
-            ' '.join(standing.lives),
+            ' '.join(standing.incarnations),
             int(standing.age_s * MS),
             int(standing.refused_s * MS),
         )
@@ -280,7 +287,7 @@
                 standing.request,
                 round(standing.refused_s, 1),
                 round(standing.age_s, 1),
-                standing.lives,
+                standing.incarnations,
                 standing.cleared,
             )
             for digest, standing in sorted(
--- a/carawaystair/quarantine/spread.py
+++ b/carawaystair/quarantine/spread.py
@@ -12,7 +12,7 @@
 import mode
 
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair.membership import ring
 from carawaystair.quarantine import messages
 
@@ -56,13 +56,15 @@
 class Source(typing.Protocol):
     """What knows facts and takes those of others."""
 
-    def known(self, keys: typing.Collection[Key]) -> list[crashing.Fact]:
+    def known(self, keys: typing.Collection[Key]) -> list[crash_suspects.Fact]:
         """Return facts that are still known."""
 
-    def all_known(self) -> list[crashing.Fact]:
+    def all_known(self) -> list[crash_suspects.Fact]:
         """Return all facts, those of refused requests first."""
 
-    def take(self, sender: str, facts: typing.Iterable[crashing.Fact]) -> None:
+    def take(
+        self, sender: str, facts: typing.Iterable[crash_suspects.Fact]
+    ) -> None:
         """Take facts that another process told."""
 
 
@@ -184,5 +186,5 @@
         self.stale.set()
 
 
-def _keys(facts: typing.Iterable[crashing.Fact]) -> list[Key]:
-    return [(fact.digest, fact.life) for fact in facts]
+def _keys(facts: typing.Iterable[crash_suspects.Fact]) -> list[Key]:
+    return [(fact.digest, fact.incarnation) for fact in facts]
--- a/carawaystair/request/caller.py
+++ b/carawaystair/request/caller.py
@@ -5,8 +5,8 @@
 
 
 from carawaystair import codes
-from carawaystair.load import crashing
-from carawaystair.load import returning
+from carawaystair.load import crash_suspects
+from carawaystair.load import retry_after
 from carawaystair import manifest
 from carawaystair.request import call as calls
 from carawaystair.request import headers
@@ -47,7 +47,7 @@
         self.retry_after_s = retry_after_s
 
 
-def crashes(standing: crashing.Standing) -> Refused:
+def crashes(standing: crash_suspects.Standing) -> Refused:
     """Return the refusal of a request under which upstreams crashed.
 
     :param standing: what this node knows of it; a gateway may know more.
@@ -55,9 +55,9 @@
     detail = '%d upstreams crashed under it, the last %.1f s ago: %s' % (
         standing.crashes,
         standing.age_s,
-        ' '.join(standing.lives),
+        ' '.join(standing.incarnations),
     )
-    after_s = max(standing.refused_s, returning.MOST_S)
+    after_s = max(standing.refused_s, retry_after.MAX_S)
     return Refused(codes.CRASHES_UPSTREAMS, detail, after_s)
 
 
--- a/carawaystair/settings.py
+++ b/carawaystair/settings.py
@@ -7,7 +7,7 @@
 
 from carawaystair import codes
 from carawaystair import documents
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair import settings_rules as rules
 from carawaystair import shape
 
@@ -73,8 +73,8 @@
     retry_slack: int = 50
     retry_window_s: float = 10.0
     link_mbps: float = 0.0
-    crash_limit: int = crashing.LIMIT
-    crash_hold_s: float = crashing.HOLD_S
+    crash_limit: int = crash_suspects.CRASH_LIMIT
+    crash_hold_s: float = crash_suspects.HOLD_S
 
 
 class Headers(typing.NamedTuple):
--- a/test/inert.py
+++ b/test/inert.py
@@ -10,7 +10,7 @@
 
 from carawaystair import codes
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 
 
 class Health:
@@ -32,9 +32,9 @@
 class Quarantine:
     """Quarantine that refuses nothing."""
 
-    def standing(self, digest: str) -> crashing.Standing:
+    def standing(self, digest: str) -> crash_suspects.Standing:
         """Know nothing of a request."""
-        return crashing.UNKNOWN
+        return crash_suspects.UNKNOWN
 
     def refuses(self, digest: str) -> bool:
         """Refuse nothing."""
--- a/test/test_crashing.py
+++ b/test/test_crashing.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 
 LIVES = ('u1/1', 'u2/1', 'u3/1', 'u4/1')
 
 
 def fact(digest='d', life=LIVES[0], age_ms=0, cleared=False):
-    return crashing.Fact(digest, life, age_ms, cleared, 'r')
+    return crash_suspects.Fact(digest, life, age_ms, cleared, 'r')
 
 
 def learned(*facts, now=0.0):
     """Return what knows some facts."""
-    suspects = crashing.Suspects()
+    suspects = crash_suspects.Suspects()
     for each in facts:
-        suspects.learn(each, now)
+        suspects.add(each, now)
     return suspects
 
 
@@ -30,7 +30,7 @@
 def test_request_is_refused_once_three_upstreams_crashed_under_it():
     for count in range(len(LIVES) + 1):
         refused = learned(*crashes(count)).refuses('d', 0.0)
-        assert refused == (count >= crashing.LIMIT)
+        assert refused == (count >= crash_suspects.CRASH_LIMIT)
 
 
 def test_one_crash_that_is_told_many_times_counts_once():
@@ -44,24 +44,24 @@
 
 def test_request_that_ended_well_since_is_cleared():
     suspects = learned(*crashes(3))
-    cleared = suspects.ended_well('d', 1.0)
-    assert all(suspects.learn(each, 1.0) for each in cleared)
+    cleared = suspects.record_success('d', 1.0)
+    assert all(suspects.add(each, 1.0) for each in cleared)
     assert suspects.standing('d', 1.0).crashes == 0
     assert not suspects.refuses('d', 1.0)
 
 
 def test_crash_that_is_told_late_does_not_undo_its_clearing():
     suspects = learned(fact(cleared=True))
-    assert not suspects.learn(fact(), 1.0)
+    assert not suspects.add(fact(), 1.0)
     assert suspects.standing('d', 1.0).crashes == 0
 
 
 def test_good_answer_does_not_clear_of_later_crashes():
     suspects = learned(*crashes(1))
-    for each in suspects.ended_well('d', 1.0):
-        suspects.learn(each, 1.0)
+    for each in suspects.record_success('d', 1.0):
+        suspects.add(each, 1.0)
     for life in LIVES[1:]:
-        suspects.learn(fact(life=life), 2.0)
+        suspects.add(fact(life=life), 2.0)
     assert suspects.refuses('d', 2.0)
 
 
@@ -81,7 +81,7 @@
         suspects = learned(*told)
         standings.add(
             tuple(
-                suspects.standing(digest, 0.0)._replace(lives=())
+                suspects.standing(digest, 0.0)._replace(incarnations=())
                 for digest in 'ab'
             )
         )
@@ -90,21 +90,23 @@
 
 def test_request_whose_time_of_refusal_is_over_is_on_trial():
     suspects = learned(*crashes(3))
-    hold_s = crashing.HOLD_S
+    hold_s = crash_suspects.HOLD_S
     assert suspects.refuses('d', hold_s - 1)
     assert not suspects.refuses('d', hold_s + 1)
     assert suspects.on_trial('d')
-    suspects.learn(fact(life=LIVES[3]), hold_s + 2)
+    suspects.add(fact(life=LIVES[3]), hold_s + 2)
     assert suspects.refuses('d', 3 * hold_s)
     assert not suspects.refuses('d', 3 * hold_s + 3)
 
 
 def test_request_that_crashes_on_trial_again_and_again_is_refused_for_long():
     suspects = learned()
-    for number in range(crashing.LIMIT + crashing.MOST_FURTHER):
-        suspects.learn(fact(life='u%d/1' % number), 0.0)
-    assert suspects.refuses('d', crashing.LONG_HOLD_S - 1)
-    assert not suspects.refuses('d', crashing.LONG_HOLD_S + 1)
+    for number in range(
+        crash_suspects.CRASH_LIMIT + crash_suspects.MAX_DOUBLINGS
+    ):
+        suspects.add(fact(life='u%d/1' % number), 0.0)
+    assert suspects.refuses('d', crash_suspects.LONG_HOLD_S - 1)
+    assert not suspects.refuses('d', crash_suspects.LONG_HOLD_S + 1)
 
 
 def test_crashes_of_upstreams_that_served_nothing_are_no_requests_fault():
@@ -114,50 +116,54 @@
     fresh = [each._replace(proven=False) for each in crashes(4)]
     suspects = learned(*fresh[:3])
     assert not suspects.refuses('d', 0.0)
-    suspects.learn(fresh[3]._replace(proven=True), 0.0)
+    suspects.add(fresh[3]._replace(proven=True), 0.0)
     assert suspects.refuses('d', 0.0)
 
 
 def test_what_is_old_is_forgotten_and_not_taken_again():
     suspects = learned(*crashes(1))
-    assert suspects.forget(crashing.KEEP_S - 1) == []
-    assert suspects.forget(crashing.KEEP_S + 1) == ['d']
+    assert suspects.expire(crash_suspects.RETENTION_S - 1) == []
+    assert suspects.expire(crash_suspects.RETENTION_S + 1) == ['d']
     day_ms = 10**9
-    assert not suspects.learn(fact(age_ms=day_ms), 0.0)
+    assert not suspects.add(fact(age_ms=day_ms), 0.0)
 
 
 def test_memory_is_bounded_and_refused_requests_are_kept():
     suspects = learned(*crashes(3, 'refused'))
-    for number in range(2 * crashing.MOST_SUSPECTS):
-        suspects.learn(fact('d%d' % number), 1.0 + number / 1000)
-    most = crashing.MOST_SUSPECTS
-    assert most - most // crashing.DROPPED <= len(suspects.crashes) <= most
+    for number in range(2 * crash_suspects.MAX_SUSPECTS):
+        suspects.add(fact('d%d' % number), 1.0 + number / 1000)
+    most = crash_suspects.MAX_SUSPECTS
+    assert (
+        most - most // crash_suspects.EVICTION_DIVISOR
+        <= len(suspects.crashes)
+        <= most
+    )
     assert suspects.refuses('refused', 2.0)
     for number in range(100):
-        suspects.learn(fact('refused', 'v%d/1' % number), 3.0 + number)
-    assert len(suspects.crashes['refused']) == crashing.MOST_CRASHES
-    for number in range(2 * crashing.MOST_SOUND):
-        suspects.ended_well('e%d' % number, 4.0)
-    assert len(suspects.sound) == crashing.MOST_SOUND
+        suspects.add(fact('refused', 'v%d/1' % number), 3.0 + number)
+    assert len(suspects.crashes['refused']) == crash_suspects.MAX_CRASHES
+    for number in range(2 * crash_suspects.MAX_SUCCESSES):
+        suspects.record_success('e%d' % number, 4.0)
+    assert len(suspects.succeeded_at) == crash_suspects.MAX_SUCCESSES
 
 
 def test_processes_that_know_too_much_do_not_tell_each_other_for_ever(
     monkeypatch,
 ):
     """Guards against facts that each process drops and takes again."""
-    monkeypatch.setattr(crashing, 'MOST_SUSPECTS', 10)
+    monkeypatch.setattr(crash_suspects, 'MAX_SUSPECTS', 10)
     rng = random.Random(1)
     facts = [
         fact('d%d' % rng.randrange(40), rng.choice(LIVES), number)
         for number in range(200)
     ]
-    ends = crashing.Suspects(), crashing.Suspects()
+    ends = crash_suspects.Suspects(), crash_suspects.Suspects()
     told = [(rng.randrange(2), each) for each in facts]
     rounds = 0
     while told and rounds < 5:
         rounds += 1
         told = [
-            (1 - end, each) for end, each in told if ends[end].learn(each, 0.0)
+            (1 - end, each) for end, each in told if ends[end].add(each, 0.0)
         ]
     assert not told
     assert len(ends[0].crashes) == 10
--- a/test/test_crashing_model.py
+++ b/test/test_crashing_model.py
@@ -4,7 +4,7 @@
 
 from bench import crashing_model as crashing
 from bench import exp_crashing as experiment
-from carawaystair.load import crashing as decisions
+from carawaystair.load import crash_suspects as decisions
 
 
 def sound(play):
@@ -30,8 +30,8 @@
 
 def test_content_that_crashes_runs_a_few_times_only():
     play = crashing.play(experiment.PLAN, crashing.Crashes(), 1)
-    known_at = play.fatal_runs[decisions.LIMIT - 1] + 3.0
+    known_at = play.fatal_runs[decisions.CRASH_LIMIT - 1] + 3.0
     assert not [at for at in play.fatal_runs if at > known_at]
-    never = crashing.Crashes(limit=decisions.MOST_CRASHES + 1)
+    never = crashing.Crashes(limit=decisions.MAX_CRASHES + 1)
     before = crashing.play(experiment.PLAN, never, 1)
     assert len(before.fatal_runs) > 5 * len(play.fatal_runs)
--- a/test/test_gateway_lifetimes.py
+++ b/test/test_gateway_lifetimes.py
@@ -8,7 +8,7 @@
 from carawaystair import clock
 from carawaystair.gateway import known as knowns
 from carawaystair import interfaces
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import routing as routings
 from carawaystair import rows
 from test import fakes
@@ -238,18 +238,18 @@
             work = fleet.nodes[1].service.work
             name = fleet.nodes[1].upstream.name
             before = work.report(name)
-            budget = work.budgets.of('portal')
+            budget = work.budgets.for_service('portal')
             fleet.nodes[1].announce(incarnation=9, slots=2)
             after = work.report(name)
             board = fleet.nodes[0].service.known.board
-            view = board.views.get(name)
+            view = board.states.get(name)
             ejected = fleet.nodes[0].service.ejected('portal')
-            kept = work.budgets.of('portal') is budget
+            kept = work.budgets.for_service('portal') is budget
             return before, after, view and view.report, ejected, kept
 
     before, after, seen, ejected, kept = pipes.run(scenario())
-    assert before.suspect
-    assert not after.suspect
+    assert before.likely_failing
+    assert not after.likely_failing
     assert (after.running, after.waiting) == (0, 0)
     assert after.idle_ms == 60_000
     assert (seen, ejected, kept) == (None, frozenset(), True)
@@ -272,7 +272,7 @@
 
 # At the callers' nodes
 
-REPORT = placing.Report('p', True, 3, 2, 5, 900, 400, 10)
+REPORT = upstream_selection.LoadReport('p', True, 3, 2, 5, 900, 400, 10)
 
 
 def test_report_of_a_former_life_is_not_the_new_ones():
@@ -281,29 +281,29 @@
     overtaken by the news of the new one.
     Cause: a report named the upstream and not its life.
     """
-    board = placing.Board(random.Random(1))
-    board.heard('a', REPORT._replace(incarnation=5), 1.0)
-    board.renew('a', 9)
-    assert board.view('a').report is None
-    board.heard('a', REPORT._replace(incarnation=5), 2.0)
-    assert board.view('a').report is None
-    fresh = REPORT._replace(suspect=False, incarnation=9)
-    board.heard('a', fresh, 3.0)
-    board.heard('a', REPORT._replace(incarnation=5), 4.0)
-    assert board.view('a').report == fresh
+    board = upstream_selection.UpstreamSelector(random.Random(1))
+    board.record_report('a', REPORT._replace(incarnation=5), 1.0)
+    board.start_incarnation('a', 9)
+    assert board.state('a').report is None
+    board.record_report('a', REPORT._replace(incarnation=5), 2.0)
+    assert board.state('a').report is None
+    fresh = REPORT._replace(likely_failing=False, incarnation=9)
+    board.record_report('a', fresh, 3.0)
+    board.record_report('a', REPORT._replace(incarnation=5), 4.0)
+    assert board.state('a').report == fresh
 
 
 def test_report_of_a_new_life_ends_what_was_known():
     """The gateway may know of the new life before the directory does."""
-    board = placing.Board(random.Random(1))
-    board.heard('a', REPORT._replace(incarnation=5), 1.0)
-    former = board.view('a')
-    former.mine = 3
-    fresh = REPORT._replace(suspect=False, incarnation=9)
-    board.heard('a', fresh, 2.0)
-    board.renew('a', 9)
-    assert board.view('a').report == fresh
-    assert board.view('a').mine == 0
+    board = upstream_selection.UpstreamSelector(random.Random(1))
+    board.record_report('a', REPORT._replace(incarnation=5), 1.0)
+    former = board.state('a')
+    former.in_flight = 3
+    fresh = REPORT._replace(likely_failing=False, incarnation=9)
+    board.record_report('a', fresh, 2.0)
+    board.start_incarnation('a', 9)
+    assert board.state('a').report == fresh
+    assert board.state('a').in_flight == 0
 
 
 def upstream(**changes):
@@ -335,10 +335,10 @@
         known = caller(directory)
         target = known.target(first)
         await asyncio.sleep(10.0)
-        assert not known._candidate(first, clock.now()).cold
+        assert not known._candidate(first, clock.now()).warming_up
         second = upstream(incarnation=9, warmup_s=3.0)
         directory.put(second)
-        assert known._candidate(second, clock.now()).cold
+        assert known._candidate(second, clock.now()).warming_up
         return target
 
     fakes.run(_run())
@@ -366,8 +366,8 @@
         assert other.upstream == second
         # An answer of the former life still comes.
         late = REPORT._replace(incarnation=5)
-        known.board.heard('a', late, clock.now())
-        assert known.board.view('a').report is None
+        known.board.record_report('a', late, clock.now())
+        assert known.board.state('a').report is None
 
     fakes.run(_run())
 
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -4,8 +4,8 @@
 import random
 
 from carawaystair.gateway import inner
-from carawaystair.load import nesting
-from carawaystair.load import retrying
+from carawaystair.load import nested_calls
+from carawaystair.load import retry_budget
 from test import gateway_setup as fleets
 from test import pipes
 from test import request_setup as setups
@@ -213,8 +213,8 @@
 
 
 def test_calls_have_the_rank_of_the_request_that_waits_for_them():
-    budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
-    known = inner.InnerCalls(nesting.Payer(budgets))
+    budgets = retry_budget.Budgets(0.2, 0.0, 10.0, 'h')
+    known = inner.InnerCalls(nested_calls.NestedCallBudget(budgets))
     known.began('a', 's', 2, False)
     assert known.parent('a.1') == 'a'
     assert known.rank('a.1', 1) == 2
--- a/test/test_gateway_pacer.py
+++ b/test/test_gateway_pacer.py
@@ -42,7 +42,7 @@
         loop.call_at(turn_at - 0.001, tasks[0].cancel)
         async with asyncio.timeout(5.0):
             await asyncio.gather(*tasks, return_exceptions=True)
-        return done, pacer.futures, pacer.link.ahead_s(loop.time() + 1.0)
+        return done, pacer.futures, pacer.link.backlog_s(loop.time() + 1.0)
 
     done, futures, ahead_s = fakes.run(scenario())
     assert done == [1, 2]
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -168,9 +168,11 @@
 
 def repeats(fleet):
     """Return how many repeats gateways counted, and how many upstreams got."""
-    budgets = [n.service.work.budgets.of('portal') for n in fleet.nodes]
+    budgets = [
+        n.service.work.budgets.for_service('portal') for n in fleet.nodes
+    ]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
-    counted = sum(budget.total_repeats for budget in budgets)
+    counted = sum(budget.total_retries for budget in budgets)
     return counted, len(ids) - len(set(ids))
 
 
@@ -189,10 +191,10 @@
         async with fleets.running(*scripts, **options) as fleet:
             for node in fleet.nodes:
                 payer = node.service.work.inner.payer
-                payer.refused('other', clock.now())
-                payer.counts.ran('portal')
+                payer.record_refusal('other', clock.now())
+                payer.counts.record_run('portal')
                 for _call in range(LARGE_SLACK):
-                    payer.counts.called('portal', 'other')
+                    payer.counts.record_call('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
             return refusals(fleet), repeats(fleet)
--- a/test/test_gateway_runs.py
+++ b/test/test_gateway_runs.py
@@ -10,7 +10,7 @@
 from carawaystair.gateway import hops
 from carawaystair.gateway import runs
 from carawaystair.gateway import slots
-from carawaystair.load import rejecting
+from carawaystair.load import rejection
 from carawaystair.request import answer as answers
 
 
@@ -40,7 +40,7 @@
 
 
 async def _refuse():
-    raise slots.Refused(rejecting.BUSY)
+    raise slots.Refused(rejection.BUSY)
 
 
 @pytest.mark.parametrize('idempotent', [True, False])
--- a/test/test_gateway_spread.py
+++ b/test/test_gateway_spread.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from carawaystair.load import placing
-from carawaystair.load import valuing
+from carawaystair.load import request_value
+from carawaystair.load import upstream_selection
 from test import gateway_setup as fleets
 from test import pipes
 from test import request_setup as setups
@@ -132,11 +132,13 @@
     first by name: the whole load of a start, or of a restart of many nodes,
     met a few upstreams.  A choice between equals is therefore by chance.
     """
-    candidates = [placing.Candidate('u%d' % n, False, 5) for n in range(10)]
+    candidates = [
+        upstream_selection.Candidate('u%d' % n, False, 5) for n in range(10)
+    ]
     for last, trial in ((True, False), (False, True)):
-        need = valuing.Need(2.0, 6.0, last)
+        need = request_value.Need(2.0, 6.0, last)
         chosen = collections.Counter(
-            placing.Board(random.Random(node))
+            upstream_selection.UpstreamSelector(random.Random(node))
             .choose(candidates, (), (), 0.0, need, trial=trial)
             .candidate.id
             for node in range(200)
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from carawaystair.load import estimating
-from carawaystair.load import gate
-from carawaystair.load import nesting
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import retrying
-from carawaystair.load import returning
-from carawaystair.load import trying
-from carawaystair.load import valuing
-from carawaystair.load import waiting
+from carawaystair.load import failure_estimate
+from carawaystair.load import nested_calls
+from carawaystair.load import rejection
+from carawaystair.load import request_value
+from carawaystair.load import retry_after
+from carawaystair.load import retry_budget
+from carawaystair.load import slot_queue
+from carawaystair.load import trial_requests
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 
 SLOTS = 5
 SERVICE_S = 0.5
@@ -23,7 +23,7 @@
 
 def want(name, now=0.0, goal_s=2.0, deadline_s=6.0, **fields):
     """Return what a request wants that comes now."""
-    return waiting.Want(
+    return slot_queue.SlotRequest(
         str(name), 'r', now + deadline_s, now + goal_s, **fields
     )
 
@@ -34,9 +34,9 @@
     :param line: decides.
     """
 
-    def __init__(self, line: waiting.Line) -> None:
+    def __init__(self, line: slot_queue.SlotQueue) -> None:
         self.line = line
-        self.wants: dict[str, waiting.Want] = {}
+        self.wants: dict[str, slot_queue.SlotRequest] = {}
         self.ends: list[tuple[float, str]] = []
         self.answered: dict[str, float] = {}
         self.refused: dict[str, float] = {}
@@ -55,7 +55,7 @@
 
     def _arrive(self, one, now, service_s) -> None:
         self.wants[one.id] = one
-        verdict = self.line.ask(one, now, True)
+        verdict = self.line.request_slot(one, now, True)
         if verdict.starts:
             self.ends.append((now + service_s, one.id))
         elif verdict.reason:
@@ -64,9 +64,9 @@
     def _end(self, end, service_s) -> None:
         now, name = end
         self.answered[name] = now
-        self.line.learn('r', now - service_s, service_s)
-        self.line.end(name)
-        for started in self.line.start(now):
+        self.line.record_service_time('r', now - service_s, service_s)
+        self.line.finish(name)
+        for started in self.line.start_waiting(now):
             self.ends.append((now + service_s, started))
 
     def in_goal(self) -> int:
@@ -84,9 +84,9 @@
         )
 
 
-def line(mean_s: float = SERVICE_S) -> waiting.Line:
+def line(mean_s: float = SERVICE_S) -> slot_queue.SlotQueue:
     """Return a line that knows its service time."""
-    made = waiting.Line(SLOTS)
+    made = slot_queue.SlotQueue(SLOTS)
     made.durations.mean = mean_s
     made.durations.means['r'] = mean_s
     return made
@@ -161,7 +161,7 @@
         38.307  declining hopeless, its time is over, 5 run, 17 wait
     """
     made = line()
-    made.cold_until = 60.0
+    made.warmup_until = 60.0
     replay = Replay(made)
     calls = [
         (when, one._replace(goal=when + 3.5, deadline=when + 5.0))
@@ -172,7 +172,7 @@
     assert held <= 0.05 * len(replay.wants)
     assert len(replay.answered) >= 0.8 * SLOTS * 5.0 / (2 * SERVICE_S)
     # What was learnt meanwhile holds for a warm one.
-    assert made.durations.of('r') < 1.1 * SERVICE_S
+    assert made.durations.expected('r') < 1.1 * SERVICE_S
 
 
 def test_work_that_waits_for_seconds_is_served_late():
@@ -195,38 +195,38 @@
 def test_urgent_kind_goes_first_and_calls_before_others_of_their_rank():
     made = line()
     for index in range(SLOTS):
-        assert made.ask(want('run%d' % index), 0.0, True).starts
+        assert made.request_slot(want('run%d' % index), 0.0, True).starts
     for one in (
         want('plain', priority=2),
         want('urgent', priority=1),
         want('call', priority=2, goal_s=0.1, inner=True),
     ):
-        assert made.ask(one, 0.0, True).waits
+        assert made.request_slot(one, 0.0, True).waits
     for index in range(3):
-        made.end('run%d' % index)
+        made.finish('run%d' % index)
     # The call is past its goal, which does not put it behind.
-    assert made.start(0.0) == ['urgent', 'call', 'plain']
+    assert made.start_waiting(0.0) == ['urgent', 'call', 'plain']
 
 
 def test_those_that_can_meet_their_goal_go_before_late_ones():
     made = line()
     for index in range(SLOTS):
-        made.ask(want('run%d' % index), 0.0, True)
-    made.ask(want('late', goal_s=0.2, priority=0), 0.0, True)
-    made.ask(want('in-time', goal_s=2.0, priority=3), 0.0, True)
-    made.end('run0')
-    assert made.start(0.0) == ['in-time']
+        made.request_slot(want('run%d' % index), 0.0, True)
+    made.request_slot(want('late', goal_s=0.2, priority=0), 0.0, True)
+    made.request_slot(want('in-time', goal_s=2.0, priority=3), 0.0, True)
+    made.finish('run0')
+    assert made.start_waiting(0.0) == ['in-time']
 
 
 def test_request_that_can_not_be_answered_in_time_is_refused_at_once():
     made = line()
     for index in range(SLOTS):
-        made.ask(want('run%d' % index), 0.0, True)
+        made.request_slot(want('run%d' % index), 0.0, True)
     for index in range(40):
-        made.ask(want('wait%d' % index), 0.0, True)
-    verdict = made.ask(want('x', deadline_s=1.0), 0.0, True)
-    assert verdict.reason == rejecting.HOPELESS
-    assert made.ask(want('y'), 0.0, False).reason == rejecting.BUSY
+        made.request_slot(want('wait%d' % index), 0.0, True)
+    verdict = made.request_slot(want('x', deadline_s=1.0), 0.0, True)
+    assert verdict.reason == rejection.HOPELESS
+    assert made.request_slot(want('y'), 0.0, False).reason == rejection.BUSY
 
 
 def test_slots_are_never_exceeded_whatever_comes():
@@ -237,18 +237,21 @@
         now = step * 0.01
         if rng.random() < 0.6:
             one = want(step, now, rng.uniform(0.1, 3), rng.uniform(0.2, 8))
-            if made.ask(one, now, rng.random() < 0.8).starts:
+            if made.request_slot(one, now, rng.random() < 0.8).starts:
                 running.append(one.id)
         elif running:
-            made.end(running.pop(rng.randrange(len(running))))
-            running += made.start(now)
+            made.finish(running.pop(rng.randrange(len(running))))
+            running += made.start_waiting(now)
         assert made.running == len(running) <= SLOTS
 
 
 # Gray upstreams
 
-AT_ONCE, SURVIVED = estimating.FAILED_AT_ONCE, estimating.SURVIVED
-FAILED, SUCCEEDED = estimating.FAILED, estimating.SUCCEEDED
+AT_ONCE, SURVIVED = (
+    failure_estimate.FAILED_AT_ONCE,
+    failure_estimate.NOT_FAILED_AT_ONCE,
+)
+FAILED, SUCCEEDED = failure_estimate.FAILED, failure_estimate.SUCCEEDED
 # What others of the service fail, which are sound and have room.
 SOUND = 0.04
 
@@ -257,8 +260,8 @@
     """A gate that is offered requests and sees what becomes of them."""
 
     def __init__(self) -> None:
-        self.gate = gate.Gate(SLOTS)
-        self.gate.line = line()
+        self.gate = upstream_gate.Gate(SLOTS)
+        self.gate.queue = line()
 
     def takes(
         self, now, idempotent=False, repeat=False, calm=True, others=SOUND
@@ -268,35 +271,40 @@
         :param others: how likely other upstreams fail it.
         """
         last = repeat or not idempotent
-        best = valuing.worth(others, SERVICE_S, need())
-        again = valuing.AGAIN * best
-        needed = need(last=last)._replace(again=again)
-        least = valuing.worth(others, SERVICE_S, needed) - placing.SAME
-        offer = gate.Offer(last, repeat, again, least, calm, SERVICE_S)
+        best = request_value.expected_value(others, SERVICE_S, need())
+        again = request_value.RETRY_VALUE_SHARE * best
+        needed = need(last=last)._replace(retry_value=again)
+        least = (
+            request_value.expected_value(others, SERVICE_S, needed)
+            - upstream_selection.EQUAL_VALUE_MARGIN
+        )
+        offer = upstream_gate.Offer(
+            last, repeat, again, least, calm, SERVICE_S
+        )
         answer = self.gate.answer(offer, want('x', now), now)
         if not answer.reason:
-            self.gate.trials.began(now)
+            self.gate.trials.record_start(now)
         return not answer.reason
 
     def see(self, now, *sights) -> None:
         """Let a run show something."""
         for sight in sights:
-            self.gate.estimate.see(sight, now)
+            self.gate.estimate.observe(sight, now)
         if sights[-1] is SUCCEEDED:
-            self.gate.trials.succeeded()
-        if sights[-1] in (AT_ONCE, FAILED, estimating.OVERDUE):
-            self.gate.trials.failed(now)
+            self.gate.trials.record_success()
+        if sights[-1] in (AT_ONCE, FAILED, failure_estimate.OVERDUE):
+            self.gate.trials.record_failure(now)
 
     def failing(self, now) -> float:
         """Return how likely it fails."""
-        return self.gate.estimate.failing(now)
+        return self.gate.estimate.failure_probability(now)
 
 
 def sound(until=2.0) -> Watched:
     """Return a gate whose upstream has done sound work until then."""
     made = Watched()
     for step in range(int(until * 5) + 1):
-        made.gate.trials.began(step / 5)
+        made.gate.trials.record_start(step / 5)
         made.see(step / 5, SURVIVED, SUCCEEDED)
     return made
 
@@ -307,7 +315,7 @@
     made.see(2.1, AT_ONCE)
     assert not made.takes(2.2)
     assert not made.takes(2.2, idempotent=True)
-    assert made.takes(2.1 + 2 * trying.EVERY_S, idempotent=True)
+    assert made.takes(2.1 + 2 * trial_requests.MIN_INTERVAL_S, idempotent=True)
 
 
 def test_failure_after_the_work_tells_less_than_one_at_once():
@@ -361,14 +369,14 @@
         if not made.takes(now, idempotent=True, others=0.3):
             idle += 1
         elif rng.random() < 0.4:
-            made.see(now, estimating.SHED)
+            made.see(now, failure_estimate.SHED)
         else:
             made.see(now, SURVIVED, SUCCEEDED)
     assert idle < 200
     # One that takes nothing is kept out of the way.
     full = sound()
     for _shed in range(3):
-        full.see(2.1, estimating.SHED)
+        full.see(2.1, failure_estimate.SHED)
     assert not full.takes(2.1)
 
 
@@ -404,7 +412,7 @@
     for now in times:
         if made.takes(now, idempotent=True):
             made.see(now, SURVIVED, SUCCEEDED)
-    assert now - 2.0 <= 3 * trying.EVERY_S
+    assert now - 2.0 <= 3 * trial_requests.MIN_INTERVAL_S
 
 
 def test_upstream_that_fails_at_once_is_cleared_before_its_answers_come():
@@ -440,7 +448,7 @@
 def test_upstream_that_hangs_is_not_cleared_by_what_hangs_at_it():
     made = sound()
     for run in range(3):
-        made.see(2.0 + 0.1 * run, SURVIVED, estimating.OVERDUE)
+        made.see(2.0 + 0.1 * run, SURVIVED, failure_estimate.OVERDUE)
     for step in range(20):
         made.see(2.3 + 0.05 * step, SURVIVED)
     assert not made.takes(3.3)
@@ -449,12 +457,12 @@
 def test_service_without_repeatable_requests_gets_its_upstream_back():
     made = sound()
     made.see(2.0, AT_ONCE)
-    assert not made.takes(2.0 + trying.IDLE_S)
+    assert not made.takes(2.0 + trial_requests.IDLE_S)
     assert not made.takes(4.0)
     # Where others fail as well, within two seconds.
     assert made.takes(4.0, calm=False)
     made.see(4.0, AT_ONCE)
-    assert made.takes(4.0 + 3.0 * trying.CALM)
+    assert made.takes(4.0 + 3.0 * trial_requests.HEALTHY_SERVICE_FACTOR)
 
 
 def test_what_is_known_fades_to_what_holds_as_a_rule():
@@ -463,7 +471,7 @@
     risks = [made.failing(2.0 + age) for age in ages]
     assert risks == sorted(risks)
     assert risks[0] < 0.05
-    assert risks[-1] <= made.gate.estimate.usually() + 1e-9
+    assert risks[-1] <= made.gate.estimate.typical_failure_probability() + 1e-9
     made.see(2.0, AT_ONCE)
     risks = [made.failing(2.0 + age) for age in ages]
     assert risks == sorted(risks, reverse=True)
@@ -519,8 +527,8 @@
     # A second one makes them leave it to reads, until these stay away.
     assert made.takes(8.0, idempotent=True)
     made.see(8.0, AT_ONCE)
-    assert not made.takes(2.9 + trying.OFFERED_S, calm=False)
-    assert made.takes(3.0 + trying.OFFERED_S, calm=False)
+    assert not made.takes(2.9 + trial_requests.FREQUENT_OFFERS_S, calm=False)
+    assert made.takes(3.0 + trial_requests.FREQUENT_OFFERS_S, calm=False)
 
 
 def test_upstream_that_stays_gray_gets_few_trials():
@@ -540,7 +548,7 @@
             made.see(now, AT_ONCE)
     assert trials <= 13
     # It is noticed within two seconds that it is sound again.
-    assert made.takes(now + trying.MOST_S, idempotent=True)
+    assert made.takes(now + trial_requests.MAX_INTERVAL_S, idempotent=True)
 
 
 def test_request_that_is_refused_is_no_trial():
@@ -559,7 +567,7 @@
 
 def need(goal_s=2.0, left_s=6.0, last=True):
     """Return what a request needs."""
-    return valuing.Need(goal_s, left_s, last)
+    return request_value.Need(goal_s, left_s, last)
 
 
 def test_work_that_runs_once_waits_for_a_sound_upstream_while_there_is_time():
@@ -568,36 +576,44 @@
     Sequence: a gray upstream is free, the sound ones have queues.
     Cause: a free slot went before all that is known of failures.
     """
-    gray = valuing.worth(0.8, SERVICE_S, need())
-    assert valuing.worth(0.03, SERVICE_S + 0.5, need()) > gray
+    gray = request_value.expected_value(0.8, SERVICE_S, need())
+    assert request_value.expected_value(0.03, SERVICE_S + 0.5, need()) > gray
     # When all queues are longer than it may wait, it is better tried.
-    assert valuing.worth(0.03, 6.5, need()) < gray
+    assert request_value.expected_value(0.03, 6.5, need()) < gray
 
 
 def test_worth_falls_with_time_and_with_the_chance_to_fail():
-    times = [valuing.in_time(t / 10, need()) for t in range(80)]
+    times = [request_value.answer_value(t / 10, need()) for t in range(80)]
     assert times == sorted(times, reverse=True)
     assert times[0] == 1.0
     assert times[-1] == 0.0
-    risks = [valuing.worth(f / 10, 0.5, need()) for f in range(11)]
+    risks = [
+        request_value.expected_value(f / 10, 0.5, need()) for f in range(11)
+    ]
     assert risks == sorted(risks, reverse=True)
 
 
 def test_repeatable_requests_mind_a_failure_less():
     gray, slow = (0.8, SERVICE_S), (0.03, 2.4)
-    once, again = need(), need(last=False)._replace(again=0.85)
-    assert valuing.worth(*slow, once) > valuing.worth(*gray, once)
-    assert valuing.worth(*slow, again) < valuing.worth(*gray, again)
+    once, again = need(), need(last=False)._replace(retry_value=0.85)
+    assert request_value.expected_value(
+        *slow, once
+    ) > request_value.expected_value(*gray, once)
+    assert request_value.expected_value(
+        *slow, again
+    ) < request_value.expected_value(*gray, again)
     # Where a second run would find no room it is not worth the trial.
-    full = again._replace(again=0.1)
-    assert valuing.worth(*slow, full) > valuing.worth(*gray, full)
+    full = again._replace(retry_value=0.1)
+    assert request_value.expected_value(
+        *slow, full
+    ) > request_value.expected_value(*gray, full)
 
 
 def test_request_whose_goal_has_passed_goes_where_it_is_served_soonest():
     late = need(goal_s=-1.0, left_s=3.0)
-    times = [valuing.in_time(t / 10, late) for t in range(31)]
+    times = [request_value.answer_value(t / 10, late) for t in range(31)]
     assert times == sorted(times, reverse=True)
-    assert 0.0 < times[0] <= valuing.LATE_WORTH
+    assert 0.0 < times[0] <= request_value.LATE_VALUE
     assert times[-1] == 0.0
 
 
@@ -610,16 +626,16 @@
     gateways.
     Cause: each of them bounds only what it sees.
     """
-    nodes = [retrying.Budget(0.2, 0, 10.0) for _ in range(24)]
-    gateways = [retrying.Budget(0.0, 58, 10.0) for _ in range(8)]
+    nodes = [retry_budget.Budget(0.2, 0, 10.0) for _ in range(24)]
+    gateways = [retry_budget.Budget(0.0, 58, 10.0) for _ in range(8)]
     arrivals = []
     for step in range(6000):
         now = step * 0.005
         node = nodes[step % 24]
-        node.first(now)
+        node.record_first_send(now)
         for again in range(2):
             gateway = gateways[(step + again) % 8]
-            if node.repeat(now, 1) or gateway.repeat(now, 8):
+            if node.take_retry(now, 1) or gateway.take_retry(now, 8):
                 arrivals.append(now)
     for start in range(0, 20):
         window = sum(start <= when < start + 10 for when in arrivals)
@@ -635,17 +651,17 @@
     Cause: each gateway had the share of its own first sends, and that of the
     others lay unused.
     """
-    nodes = [retrying.Budget(0.2, 0, 10.0) for _ in range(24)]
-    gateways = [retrying.Budget(0.0, 58, 10.0) for _ in range(18)]
+    nodes = [retry_budget.Budget(0.2, 0, 10.0) for _ in range(24)]
+    gateways = [retry_budget.Budget(0.0, 58, 10.0) for _ in range(18)]
     rng = random.Random(1)
     wanted = refused = 0
     for step in range(4000):
         now = step * 0.01
         node = rng.choice(nodes)
-        node.first(now)
+        node.record_first_send(now)
         if rng.random() < 0.1:
             sound = gateways[step % 3]
-            allowed = node.repeat(now, 1) or sound.repeat(now, 18)
+            allowed = node.take_retry(now, 1) or sound.take_retry(now, 18)
             # In the first window nothing was sent that a share could be of.
             wanted += now > 10.0
             refused += now > 10.0 and not allowed
@@ -664,22 +680,28 @@
     """Guards against parts of the bound below one repeat being cut off."""
     names = ['h%d' % n for n in range(60)]
     nodes = [
-        retrying.Budgets(0.2, 0, 10.0, 'share of %s' % name).of('s')
+        retry_budget.Budgets(0.2, 0, 10.0, 'share of %s' % name).for_service(
+            's'
+        )
         for name in names
     ]
     gateways = [
-        retrying.Budgets(0.0, 58, 10.0, 'slack of %s' % name).of('s')
+        retry_budget.Budgets(0.0, 58, 10.0, 'slack of %s' % name).for_service(
+            's'
+        )
         for name in names
     ]
     arrivals = []
     for step in range(3000):
         now = step * 0.02
         node, gateway = nodes[step % 60], gateways[step * 7 % 60]
-        node.first(now)
-        if node.repeat(now, 1) or gateway.repeat(now, 60):
+        node.record_first_send(now)
+        if node.take_retry(now, 1) or gateway.take_retry(now, 60):
             arrivals.append(now)
     share, slack = 0.2 * 500, 58
-    allotted = retrying.USED_SHARE * share + retrying.USED_SLACK * slack
+    allotted = (
+        retry_budget.USED_SHARE * share + retry_budget.USED_SLACK * slack
+    )
     assert most_in_a_window(arrivals) <= share + slack
     settled = [when for when in arrivals if 10 <= when < 50]
     assert len(settled) / 4 >= 0.85 * allotted
@@ -692,7 +714,9 @@
     At first they know one or two of those that share the slack.
     """
     gateways = [
-        retrying.Budgets(0.0, 58, 10.0, 'slack of h%d' % n).of('s')
+        retry_budget.Budgets(0.0, 58, 10.0, 'slack of h%d' % n).for_service(
+            's'
+        )
         for n in range(6)
     ]
     taken = []
@@ -700,14 +724,14 @@
         now = 20.0 + step * 0.01
         if step == 200:
             gateways[:restarted] = [
-                retrying.Budgets(0.0, 58, 10.0, 'slack of h%d' % n, now).of(
-                    's'
-                )
+                retry_budget.Budgets(
+                    0.0, 58, 10.0, 'slack of h%d' % n, now
+                ).for_service('s')
                 for n in range(restarted)
             ]
         knows = [1 if 22.0 <= now < 22.4 else 6] * restarted + [6] * 6
         pairs = zip(gateways, knows, strict=False)
-        taken += [now for one, known in pairs if one.repeat(now, known)]
+        taken += [now for one, known in pairs if one.take_retry(now, known)]
     assert most_in_a_window(taken) <= 58
     assert sum(when >= 32.0 for when in taken) >= 0.7 * 58 * 0.6
 
@@ -717,9 +741,9 @@
     """Guards against gateways and callers that together forget too much."""
 
     def parts(host, *began):
-        own = retrying.Budgets(0.0, 58, 10.0, 'slack of %d' % host, *began)
-        share = retrying.Budgets(0.2, 0.0, 10.0, 'share of %d' % host)
-        return own.of('s'), share.of('s')
+        own = retry_budget.Budgets(0.0, 58, 10.0, 'slack of %d' % host, *began)
+        share = retry_budget.Budgets(0.2, 0.0, 10.0, 'share of %d' % host)
+        return own.for_service('s'), share.for_service('s')
 
     hosts = [parts(host) for host in range(6)]
     taken = []
@@ -728,73 +752,73 @@
         if step == 200:
             hosts[:restarted] = [parts(host, now) for host in range(restarted)]
         budgets = itertools.chain.from_iterable(hosts)
-        taken += [now for one in budgets if one.repeat(now, 6)]
+        taken += [now for one in budgets if one.take_retry(now, 6)]
     assert most_in_a_window(taken) <= 58
 
 
 def test_repeat_whose_calls_can_not_be_paid_does_not_begin():
     """Guards against repeats that bring more calls than the bound holds."""
-    share = retrying.Budgets(0.2, 0.0, 10.0, 'share of h')
-    payer = nesting.Payer(share)
+    share = retry_budget.Budgets(0.2, 0.0, 10.0, 'share of h')
+    payer = nested_calls.NestedCallBudget(share)
     for number in range(50):
-        payer.counts.ran('shop')
-        payer.counts.called('shop', 'stock')
+        payer.counts.record_run('shop')
+        payer.counts.record_call('shop', 'stock')
         if number % 2:
-            payer.counts.called('shop', 'stock')
-    assert payer.counts.expected('shop') == {'stock': 2}
+            payer.counts.record_call('shop', 'stock')
+    assert payer.counts.expected_calls('shop') == {'stock': 2}
     for _call in range(32):
-        share.of('stock').first(20.0)
-    payer.refused('stock', 20.0)
-    paid = [payer.pay('r%d' % n, 'shop', 20.0) for n in range(10)]
+        share.for_service('stock').record_first_send(20.0)
+    payer.record_refusal('stock', 20.0)
+    paid = [payer.prepay('r%d' % n, 'shop', 20.0) for n in range(10)]
     # Two calls each, of the six that the calls of this host earn.
     assert paid == [True] * 3 + [False] * 7
-    assert payer.use('r0', 'stock')
-    assert payer.use('r0', 'stock')
-    assert not payer.use('r0', 'stock')
-    assert not payer.use('r1', 'other')
+    assert payer.use_prepaid('r0', 'stock')
+    assert payer.use_prepaid('r0', 'stock')
+    assert not payer.use_prepaid('r0', 'stock')
+    assert not payer.use_prepaid('r1', 'other')
     # One run ends before its calls; another one may begin.
-    payer.ended('r1')
-    assert payer.pay('r10', 'shop', 20.0)
-    assert not payer.pay('r11', 'shop', 20.0)
-    assert payer.pay('r12', 'unknown', 20.0)
+    payer.refund_unused('r1')
+    assert payer.prepay('r10', 'shop', 20.0)
+    assert not payer.prepay('r11', 'shop', 20.0)
+    assert payer.prepay('r12', 'unknown', 20.0)
     # Later the slack of the called service may have room again.
-    assert payer.pay('r13', 'shop', 20.0 + nesting.PAUSE_S)
-    assert not payer.use('r13', 'stock')
+    assert payer.prepay('r13', 'shop', 20.0 + nested_calls.REFUSAL_PAUSE_S)
+    assert not payer.use_prepaid('r13', 'stock')
 
 
 def test_call_counts_follow_a_service_that_changed():
-    counts = nesting.CallCounts()
+    counts = nested_calls.CallCounts()
     for _run in range(600):
-        counts.ran('shop')
-        counts.called('shop', 'stock')
-    for _run in range(6 * nesting.MOST_RUNS):
-        counts.ran('shop')
-    assert counts.expected('shop') == {}
+        counts.record_run('shop')
+        counts.record_call('shop', 'stock')
+    for _run in range(6 * nested_calls.MAX_RUNS):
+        counts.record_run('shop')
+    assert counts.expected_calls('shop') == {}
 
 
 def test_repeat_that_reached_nobody_is_not_counted():
-    budget = retrying.Budget(0.0, 4, 10.0)
+    budget = retry_budget.Budget(0.0, 4, 10.0)
     for _time in range(50):
-        assert budget.repeat(0.0, 1)
-        budget.give_back(0.0)
-    assert budget.total_repeats == 0
+        assert budget.take_retry(0.0, 1)
+        budget.refund(0.0)
+    assert budget.total_retries == 0
 
 
 def test_repeat_that_is_given_back_late_does_not_hide_a_later_one():
     """Guards against a bound that is passed after a long wait for a slot."""
-    budget = retrying.Budget(0.0, 10, 10.0)
-    assert budget.repeat(0.0, 1)
-    while budget.repeat(5.0, 1):
+    budget = retry_budget.Budget(0.0, 10, 10.0)
+    assert budget.take_retry(0.0, 1)
+    while budget.take_retry(5.0, 1):
         pass
-    budget.give_back(0.0)
+    budget.refund(0.0)
     # What was taken last is still within the window.
-    assert budget.repeat(10.6, 1)
-    assert not budget.repeat(10.6, 1)
+    assert budget.take_retry(10.6, 1)
+    assert not budget.take_retry(10.6, 1)
 
 
 def test_part_of_the_fleet_that_is_cut_off_does_not_take_the_whole_slack():
-    budget = retrying.Budget(0.0, 58, 10.0)
-    taken = sum(budget.repeat(0.0, 8) for _ in range(58))
+    budget = retry_budget.Budget(0.0, 58, 10.0)
+    taken = sum(budget.take_retry(0.0, 8) for _ in range(58))
     assert taken <= 58 / 8
 
 
@@ -803,7 +827,7 @@
 
 def report(running=0, waiting=0, failing=20, wait_ms=0, idle_ms=0):
     """Return what a gateway says."""
-    return placing.Report(
+    return upstream_selection.LoadReport(
         'p',
         failing > 500,
         running,
@@ -812,14 +836,14 @@
         wait_ms,
         400,
         idle_ms,
-        failing=failing,
+        failure_permille=failing,
     )
 
 
 def candidates(count, near=0):
     """Return candidates, the first ones near."""
     return [
-        placing.Candidate('u%d' % index, index < near, SLOTS)
+        upstream_selection.Candidate('u%d' % index, index < near, SLOTS)
         for index in range(count)
     ]
 
@@ -832,23 +856,25 @@
 
 
 def test_near_upstreams_go_first_while_they_have_room():
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(6, near=2)
     for one in some:
-        board.heard(one.id, report(), 0.0)
-    assert choose(board, some, 0.1).near
+        board.record_report(one.id, report(), 0.0)
+    assert choose(board, some, 0.1).same_data_centre
     for one in some[:2]:
         full = report(running=SLOTS, waiting=2, wait_ms=200)
-        board.heard(one.id, full, 0.1)
-    assert not choose(board, some, 0.2).near
+        board.record_report(one.id, full, 0.1)
+    assert not choose(board, some, 0.2).same_data_centre
 
 
 def test_upstreams_elsewhere_go_before_near_ones_that_fail():
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(6, near=2)
     for one in some:
-        board.heard(one.id, report(failing=800 if one.near else 20), 0.0)
-    assert not choose(board, some, 0.1).near
+        board.record_report(
+            one.id, report(failing=800 if one.same_data_centre else 20), 0.0
+        )
+    assert not choose(board, some, 0.1).same_data_centre
 
 
 def test_gray_ones_come_last_and_unreachable_ones_after_busy_ones():
@@ -857,11 +883,11 @@
     Sequence: the ways to all others lose packets for some seconds.
     Cause: what could be reached through a third node came after all others.
     """
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(3)
-    board.heard('u0', report(failing=850), 0.0)
-    board.heard('u1', report(running=SLOTS, wait_ms=100), 0.0)
-    board.view('u2').reachable = False
+    board.record_report('u0', report(failing=850), 0.0)
+    board.record_report('u1', report(running=SLOTS, wait_ms=100), 0.0)
+    board.state('u2').reachable = False
     order = []
     while (found := choose(board, some, 0.1, tried=order)) is not None:
         order.append(found.id)
@@ -874,41 +900,41 @@
     Sequence: sound upstreams are full, and others are known to be gray.
     Cause: all were asked in turn, whatever was known of them.
     """
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(3)
-    board.heard('u0', report(running=SLOTS, wait_ms=50), 0.0)
-    board.heard('u1', report(failing=850), 0.0)
-    board.heard('u2', report(failing=850), 0.0)
+    board.record_report('u0', report(running=SLOTS, wait_ms=50), 0.0)
+    board.record_report('u1', report(failing=850), 0.0)
+    board.record_report('u2', report(failing=850), 0.0)
     assert choose(board, some, 0.01, ['u0'], ['u0']) is None
     # One that could not be asked does not count.
     assert choose(board, some, 0.01, ['u0']) is not None
 
 
 def test_gateway_is_told_what_others_are_worth():
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(2)
-    board.heard('u0', report(failing=20), 0.0)
-    board.heard('u1', report(failing=850), 0.0)
+    board.record_report('u0', report(failing=20), 0.0)
+    board.record_report('u1', report(failing=850), 0.0)
     found = board.choose(some, (), (), 0.0, need())
     assert found.candidate.id == 'u0'
-    assert found.least < 0.2
+    assert found.min_value < 0.2
     found = board.choose(some, ('u0',), ('u0',), 0.0, need(last=True))
     assert found is None
 
 
 def test_work_that_can_not_be_repeated_goes_where_it_fails_least():
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(4)
     for index, one in enumerate(some):
-        board.heard(one.id, report(failing=220 - 50 * index), 0.0)
+        board.record_report(one.id, report(failing=220 - 50 * index), 0.0)
     assert choose(board, some, 0.1).id == 'u3'
 
 
 def test_trial_goes_where_no_work_was_seen_for_some_time():
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(4)
     for index, one in enumerate(some):
-        board.heard(one.id, report(idle_ms=2000 * (index == 2)), 0.0)
+        board.record_report(one.id, report(idle_ms=2000 * (index == 2)), 0.0)
     once = need(last=False)
     assert choose(board, some, 0.1, need=once, trial=True).id == 'u2'
 
@@ -918,21 +944,26 @@
     Sequence: a node sends many requests and hears of each only now and then.
     Cause: one upstream looks best and gets them all.
     """
-    board = placing.Board(random.Random(1))
+    board = upstream_selection.UpstreamSelector(random.Random(1))
     some = candidates(10)
     counts = dict.fromkeys((one.id for one in some), 0)
     for step in range(1000):
         now = step * 0.02
         found = choose(board, some, now, need=need(last=False))
         counts[found.id] += 1
-        board.heard(found.id, report(running=1), now)
+        board.record_report(found.id, report(running=1), now)
     assert min(counts.values()) > 40
 
 
 def test_report_of_an_older_version_is_understood():
-    old = placing.Report('p', True, 0, 0, SLOTS, 0, 400, 10)
-    assert placing.told(old, 0.0) > 0.5
-    assert placing.told(old._replace(suspect=False), 0.0) < 0.3
+    old = upstream_selection.LoadReport('p', True, 0, 0, SLOTS, 0, 400, 10)
+    assert upstream_selection.reported_failure_probability(old, 0.0) > 0.5
+    assert (
+        upstream_selection.reported_failure_probability(
+            old._replace(likely_failing=False), 0.0
+        )
+        < 0.3
+    )
 
 
 # Return
@@ -940,12 +971,12 @@
 
 def test_rejected_callers_do_not_return_together():
     rng = random.Random(2)
-    times = [returning.retry_after_s(1.0, rng) for _ in range(1000)]
+    times = [retry_after.retry_after_s(1.0, rng) for _ in range(1000)]
     assert all(1.0 <= when <= 2.0 for when in times)
     worst = max(
         sum(low <= when < low + 0.1 for when in times)
         for low in (1.0 + 0.1 * step for step in range(10))
     )
     assert worst < 150
-    assert returning.retry_after_s(0.0, rng) >= returning.LEAST_S
-    assert returning.retry_after_s(1e9, rng) <= 2 * returning.MOST_S
+    assert retry_after.retry_after_s(0.0, rng) >= retry_after.MIN_S
+    assert retry_after.retry_after_s(1e9, rng) <= 2 * retry_after.MAX_S
--- a/test/test_load_pacing.py
+++ b/test/test_load_pacing.py
@@ -14,7 +14,7 @@
 
     :param arrivals: when each is ready, rising, and its bytes.
     """
-    link = pacing.Link(MBPS)
+    link = pacing.PacedLink(MBPS)
     yet = collections.deque(enumerate(arrivals))
     owners: dict[int, tuple[int, int]] = {}
     took: dict[int, float] = {}
@@ -22,19 +22,19 @@
     while yet or owners:
         while yet and yet[0][1][0] <= now:
             index, (at, size) = yet.popleft()
-            place = link.place(size, at)
-            link.ask(place, size)
+            place = link.queue_position(size, at)
+            link.enqueue(place, size)
             owners[place.number] = index, size
-        turn = link.first(now)
+        turn = link.pop_due(now)
         if turn is None:
             idle = not owners
             now = yet[0][1][0] if idle else now + link.wait_s(now) + 1e-9
             continue
-        index, left = owners.pop(turn.place.number)
-        left -= link.take(left, now)
+        index, left = owners.pop(turn.position.number)
+        left -= link.take_chunk(left, now)
         if left:
-            link.ask(turn.place, left)
-            owners[turn.place.number] = index, left
+            link.enqueue(turn.position, left)
+            owners[turn.position.number] = index, left
         else:
             took[index] = link.free_at - arrivals[index][0]
     return [took[index] for index in range(len(arrivals))]
@@ -42,7 +42,7 @@
 
 def own_s(size: int) -> float:
     """Return the time that a body takes by itself."""
-    return size / (pacing.SHARE * MBPS * pacing.BYTES_S)
+    return size / (pacing.LINK_SHARE * MBPS * pacing.BYTES_PER_S_PER_MBPS)
 
 
 def test_equals_go_in_the_order_in_which_they_came():
@@ -74,7 +74,7 @@
     """
     steady = [(0.2 * number, DOWNLOAD) for number in range(100)]
     took = replay([(0.0, 500_000), *steady])
-    assert took[0] <= (pacing.STRETCH + 2) * own_s(500_000)
+    assert took[0] <= (pacing.DUE_FACTOR + 2) * own_s(500_000)
 
 
 def test_link_carries_what_it_can_and_no_more():
@@ -82,23 +82,23 @@
     link, before all short messages.
     """
     rng = random.Random(5)
-    link = pacing.Link(MBPS)
+    link = pacing.PacedLink(MBPS)
     now, sent = 0.0, 0
     while now < 10.0:
         if link.wait_s(now) > 0.0:
             # Timers ring late.
             now += link.wait_s(now) + rng.uniform(0.0, 0.01)
             continue
-        sent += link.take(DOWNLOAD, now)
+        sent += link.take_chunk(DOWNLOAD, now)
         on_the_link_s = link.free_at - now
         assert on_the_link_s <= pacing.CHUNK_S + 1e-9
-        assert sent <= link.bytes_s * (now + 2 * pacing.CHUNK_S) + 1
-    assert sent >= 0.95 * link.bytes_s * now
+        assert sent <= link.bytes_per_s * (now + 2 * pacing.CHUNK_S) + 1
+    assert sent >= 0.95 * link.bytes_per_s * now
 
 
 def test_room_that_was_not_used_goes_to_the_next():
-    link = pacing.Link(MBPS)
-    before = link.take(100, 0.0), link.free_at
-    count = link.take(DOWNLOAD, 0.0)
-    link.give_back(count)
+    link = pacing.PacedLink(MBPS)
+    before = link.take_chunk(100, 0.0), link.free_at
+    count = link.take_chunk(DOWNLOAD, 0.0)
+    link.refund(count)
     assert abs(link.free_at - before[1]) < 1e-9
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -9,7 +9,7 @@
 from carawaystair.control import role
 from carawaystair import decisions
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair import quarantine
 from carawaystair.quarantine import messages
 from carawaystair import settings
@@ -273,7 +273,7 @@
         await asyncio.sleep(15.0)
         return {
             frozenset(
-                (known.digest, known.life, known.cleared)
+                (known.digest, known.incarnation, known.cleared)
                 for known in process.all_known()
             )
             for process in fleet.processes.values()
@@ -290,7 +290,7 @@
     async def scenario(fleet):
         for number in range(3):
             await fleet.crash(number)
-        await asyncio.sleep(crashing.HOLD_S + 1)
+        await asyncio.sleep(crash_suspects.HOLD_S + 1)
         asked = [p.may_begin('d') for p in fleet.processes.values()]
         asked += [p.may_begin('d') for p in fleet.processes.values()]
         return fleet.refusing(), sum(asked)
