--- a/carawaystair/gateway/caller_handler.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -344,7 +344,7 @@
         if not status and trip.need.inner:
             self.nested_calls.failed(trip.call.id)
         if not status and trip.need.echo and trip.one_too_many:
-            self.nested_calls.payer.refused(service, clock.now())
+            self.nested_calls.payer.record_refusal(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
                 trip.call.id,
--- a/carawaystair/gateway/hop_handler.py
+++ b/carawaystair/gateway/hop_handler.py
@@ -22,7 +22,7 @@
 from carawaystair.gateway import slots as slots_module
 from carawaystair.gateway import streaming
 from carawaystair.gateway import transit
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
@@ -247,7 +247,7 @@
 
     def _report(
         self, hop: hops.Hop, request: http_server.Request
-    ) -> placing.Report:
+    ) -> upstream_selection.LoadReport:
         """Return what the sender of a request should know."""
         held_ms = int((clock.now() - request.arrived_at) * MS)
         report = self.work.report(hop.upstream, hop.route)
--- a/carawaystair/gateway/instances.py
+++ b/carawaystair/gateway/instances.py
@@ -46,7 +46,7 @@
         self.slots = slots_module.Slots(process, said.slots)
         now = clock.now()
         self.target = targets.Target(upstream(name, said), now)
-        self.slots.queue.cold_until = now + said.warmup_s
+        self.slots.queue.warmup_until = now + said.warmup_s
 
     def hear(self, said: registries.Announcement) -> None:
         """Take note of what the upstream says of itself now."""
