--- a/carawaystair/gateway/nested_calls.py
+++ b/carawaystair/gateway/nested_calls.py
@@ -9,7 +9,7 @@
 import collections
 
 from carawaystair import clock
-from carawaystair.load import nested_calls
+from carawaystair.load import nested_call_budget
 
 # An upstream answers its own caller so soon after a call of it failed,
 # seconds: it has nothing left to do.
@@ -23,7 +23,7 @@
     :param payer: pays for the calls of repeated runs.
     """
 
-    def __init__(self, payer: nested_calls.NestedCallBudget) -> None:
+    def __init__(self, payer: nested_call_budget.NestedCallBudget) -> None:
         self.payer = payer
         # How many runs of a request are at the upstreams of this host, and
         # the rank of each.
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -21,7 +21,7 @@
 from carawaystair.gateway import startup as settlings
 from carawaystair.gateway import upstream_pool as knowns
 from carawaystair import interfaces
-from carawaystair.load import nested_calls
+from carawaystair.load import nested_call_budget
 from carawaystair.load import retry_budget
 from carawaystair import metrics
 from carawaystair.request import connections
@@ -74,7 +74,7 @@
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        inner = inners.NestedCalls(nested_calls.NestedCallBudget(share))
+        inner = inners.NestedCalls(nested_call_budget.NestedCallBudget(share))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
         self.pool = knowns.UpstreamPool(
             settings.data_centre,
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -4,7 +4,7 @@
 import random
 
 from carawaystair.gateway import nested_calls
-from carawaystair.load import nested_calls
+from carawaystair.load import nested_call_budget
 from carawaystair.load import retry_budget
 from test import gateway_setup as fleets
 from test import pipes
@@ -214,7 +214,9 @@
 
 def test_calls_have_the_rank_of_the_request_that_waits_for_them():
     budgets = retry_budget.Budgets(0.2, 0.0, 10.0, 'h')
-    known = nested_calls.NestedCalls(nested_calls.NestedCallBudget(budgets))
+    known = nested_calls.NestedCalls(
+        nested_call_budget.NestedCallBudget(budgets)
+    )
     known.began('a', 's', 2, False)
     assert known.parent('a.1') == 'a'
     assert known.rank('a.1', 1) == 2
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -7,7 +7,7 @@
 import pytest
 
 from carawaystair.load import failure_estimate
-from carawaystair.load import nested_calls
+from carawaystair.load import nested_call_budget
 from carawaystair.load import rejection
 from carawaystair.load import request_value
 from carawaystair.load import retry_after
@@ -759,7 +759,7 @@
 def test_repeat_whose_calls_can_not_be_paid_does_not_begin():
     """Guards against repeats that bring more calls than the bound holds."""
     share = retry_budget.Budgets(0.2, 0.0, 10.0, 'share of h')
-    payer = nested_calls.NestedCallBudget(share)
+    payer = nested_call_budget.NestedCallBudget(share)
     for number in range(50):
         payer.counts.record_run('shop')
         payer.counts.record_call('shop', 'stock')
@@ -782,16 +782,18 @@
     assert not payer.prepay('r11', 'shop', 20.0)
     assert payer.prepay('r12', 'unknown', 20.0)
     # Later the slack of the called service may have room again.
-    assert payer.prepay('r13', 'shop', 20.0 + nested_calls.REFUSAL_PAUSE_S)
+    assert payer.prepay(
+        'r13', 'shop', 20.0 + nested_call_budget.REFUSAL_PAUSE_S
+    )
     assert not payer.use_prepaid('r13', 'stock')
 
 
 def test_call_counts_follow_a_service_that_changed():
-    counts = nested_calls.CallCounts()
+    counts = nested_call_budget.CallCounts()
     for _run in range(600):
         counts.record_run('shop')
         counts.record_call('shop', 'stock')
-    for _run in range(6 * nested_calls.MAX_RUNS):
+    for _run in range(6 * nested_call_budget.MAX_RUNS):
         counts.record_run('shop')
     assert counts.expected_calls('shop') == {}
 
