--- a/bench/exp_reservations.py
+++ b/bench/exp_reservations.py
@@ -12,8 +12,8 @@
 from carawaystair import clock
 from carawaystair import datagrams
 from carawaystair import links
-from carawaystair.reservations import names
-from carawaystair.reservations import placement
+from carawaystair.reservations import identifiers
+from carawaystair.reservations import placement_table
 from carawaystair.reservations import service
 from carawaystair.reservations import store
 from test import fakes
@@ -35,15 +35,15 @@
 
 def record_bytes(count: int, answer: bytes) -> float:
     """Return bytes that ``count`` records take, by the allocator."""
-    budget = store.Budget(1 << 40)
-    kept = store.Store(budget)
+    budget = store.MemoryBudget(1 << 40)
+    kept = store.RecordStore(budget)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
-        name = names.name('pay', 'c', '%d' % number)
+        name = identifiers.key_digest('pay', 'c', '%d' % number)
         token = b'%016d' % number
         expires = 3600.0 + number / 17.0
-        digest = names.request(b'%d' % number)
+        digest = identifiers.request_digest(b'%d' % number)
         kept.put(name, store.Record(token, digest, 7, expires))
         record = kept.get(name, 0.0)
         if answer:
@@ -154,7 +154,10 @@
         figures.fit(
             'reservations.%s.by_votes' % name,
             '%s/vote' % unit,
-            [(placement.quorum(n), values[place]) for n, values in found],
+            [
+                (placement_table.quorum(n), values[place])
+                for n, values in found
+            ],
         )
         for place, (name, unit) in enumerate(names_units)
     ]
@@ -205,20 +208,22 @@
     """Return seconds and processor seconds until a replica votes again."""
     async with Site(3, seed) as site:
         for node in site.nodes[1:]:
-            _fill(node.replica.seats[0].store, keys)
+            _fill(node.replica_server.partitions[0].store, keys)
         again = rig.make(1, site.ends[1], site.casts[1], seed + 100)
         begin, spent = time.perf_counter(), time.process_time()
-        again.book.take_space(site.nodes[0].book.space)
-        again.book.take([site.nodes[0].book.get(0)])
-        while not again.replica.active([0]):
+        again.placement_table.update_key_space(
+            site.nodes[0].placement_table.key_space
+        )
+        again.placement_table.update([site.nodes[0].placement_table.get(0)])
+        while not again.replica_server.active_epochs([0]):
             await asyncio.sleep(0.001)
         took = time.perf_counter() - begin, time.process_time() - spent
-        assert len(again.replica.seats[0].store.records) == keys
+        assert len(again.replica_server.partitions[0].store.records) == keys
         await again.on_stop()
         return took
 
 
-def _fill(kept: store.Store, keys: int) -> None:
+def _fill(kept: store.RecordStore, keys: int) -> None:
     """Store settled keys."""
     expires = clock.now() + 3600
     for number in range(keys):
--- a/bench/reservation_odds.py
+++ b/bench/reservation_odds.py
@@ -12,7 +12,7 @@
 import typing
 
 from bench import figures
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 from carawaystair.reservations import windows
 
 DAY_S = 86_400.0
@@ -78,7 +78,7 @@
     def run(self, seconds: float) -> Odds:
         """Run for some seconds of the modelled time."""
         now, out, waits = 0.0, 0.0, 0
-        quorum = placement.quorum(self.size)
+        quorum = placement_table.quorum(self.size)
         while now < seconds:
             at, place, kind = heapq.heappop(self.events)
             if self.state.count(UP) < quorum:
@@ -126,8 +126,8 @@
             if other != place
         )
         since = now - self.empty_since[place]
-        passed = since >= windows.abstain_s(WINDOW_S)
-        if others >= placement.overlap(self.size) or passed:
+        passed = since >= windows.abstention_s(WINDOW_S)
+        if others >= placement_table.quorum_overlap(self.size) or passed:
             self.state[place] = UP
             return 0
         self._soon(now + 5.0, place)
--- a/bench/reservation_rig.py
+++ b/bench/reservation_rig.py
@@ -6,7 +6,7 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair import manifest as manifests
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 from carawaystair.reservations import service
 from carawaystair import routing as routings
 from carawaystair import rows
@@ -66,10 +66,10 @@
 
 def replicas(
     nodes: typing.Sequence[service.Reservations],
-) -> tuple[placement.Replica, ...]:
+) -> tuple[placement_table.Replica, ...]:
     """Return nodes as replicas."""
     return tuple(
-        placement.Replica(
+        placement_table.Replica(
             n.host,
             n.members.me.peer,
             n.members.me.gossip,
@@ -82,16 +82,18 @@
 
 def place(
     nodes: typing.Sequence[service.Reservations],
-    holders: typing.Sequence[placement.Replica],
+    holders: typing.Sequence[placement_table.Replica],
     epoch: int = 1,
-    previous: tuple[placement.Replica, ...] = (),
+    previous: tuple[placement_table.Replica, ...] = (),
 ) -> None:
     """Tell nodes that ``holders`` hold all partitions."""
     homes = ((SERVICE, 0),)
-    space = placement.Space(epoch, WINDOW_S, ('here',), homes)
+    space = placement_table.KeySpace(epoch, WINDOW_S, ('here',), homes)
     for node in nodes:
-        node.book.take_space(space)
-        node.book.take(
-            placement.Placement(number, epoch, epoch, tuple(holders), previous)
+        node.placement_table.update_key_space(space)
+        node.placement_table.update(
+            placement_table.Placement(
+                number, epoch, epoch, tuple(holders), previous
+            )
             for number in range(PARTITIONS)
         )
--- a/carawaystair/control/replicated.py
+++ b/carawaystair/control/replicated.py
@@ -23,7 +23,7 @@
 from carawaystair.control import submissions
 from carawaystair import logs
 from carawaystair import manifest as manifests
-from carawaystair.reservations import ledger as ledgers
+from carawaystair.reservations import placement_state as placement_states
 from carawaystair import rows
 from carawaystair import timeline as timelines
 
@@ -66,7 +66,7 @@
     :param machine: what the replica applies its log to.
     :param timeline: takes note of accepted versions.
     :param offload: runs long work beside the event loop.
-    :param ledger: the placements of reservations, behind the same log.
+    :param placement_state: placements of the reservations, in the same log.
     """
 
     def __init__(
@@ -75,11 +75,13 @@
         machine: submissions.Submissions,
         timeline: timelines.Timeline,
         offload: typing.Callable = asyncio.to_thread,
-        ledger: ledgers.Ledger | None = None,
+        placement_state: placement_states.PlacementState | None = None,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
-        self.ledger = ledger or ledgers.Ledger()
+        self.placement_state = (
+            placement_state or placement_states.PlacementState()
+        )
         self.replica = replica
         self.machine = machine
         self.timeline = timeline
@@ -431,8 +433,8 @@
     )
     folder: pathlib.Path = kernel.data('control')
     machine = submissions.Submissions()
-    ledger = ledgers.Ledger()
-    machines = parts.Parts(machine, {ledgers.PREFIX: ledger})
+    placement_state = placement_states.PlacementState()
+    machines = parts.Parts(machine, {placement_states.PREFIX: placement_state})
     replica = replicas.make(
         seat,
         seats or (seat,),
@@ -448,4 +450,6 @@
         record=kernel.timeline.record,
         founds=settings.control.founds,
     )
-    return Replicated(replica, machine, kernel.timeline, ledger=ledger)
+    return Replicated(
+        replica, machine, kernel.timeline, placement_state=placement_state
+    )
--- a/carawaystair/control/role.py
+++ b/carawaystair/control/role.py
@@ -9,7 +9,7 @@
 from carawaystair import nodemetrics
 from carawaystair import publisher
 from carawaystair import quarantine
-from carawaystair.reservations import keeper
+from carawaystair.reservations import placement_server
 
 
 class Control(mode.Service):
@@ -25,14 +25,14 @@
         rng = kernel.random('publisher')
         self.publisher = publisher.Publisher(kernel.links, self.group, rng)
         self.admin = admin.make(kernel, self.group, self.publisher)
-        self.keeper = keeper.make(kernel, self.group)
+        self.placement_server = placement_server.make(kernel, self.group)
         # A node of the same process brings the membership of both.
         alone = 'node' not in kernel.settings.roles
         self.parts = (
             *(shared(kernel) if alone else ()),
             self.group,
             self.publisher,
-            self.keeper,
+            self.placement_server,
             self.admin,
         )
 
--- a/carawaystair/reservations/activation.py
+++ b/carawaystair/reservations/activation.py
@@ -19,22 +19,22 @@
 from carawaystair import codes
 from carawaystair import logs
 from carawaystair.reservations import messages
-from carawaystair.reservations import placement
-from carawaystair.reservations import replica as replicas
-from carawaystair.reservations import seat as seats
+from carawaystair.reservations import partition_replica as partition_replicas
+from carawaystair.reservations import placement_table
+from carawaystair.reservations import replica_server as replica_servers
 from carawaystair.reservations import transfer
 from carawaystair import timeline as timelines
 
 PAGE_TIMEOUT_S = 1.0
 # Pause before a failed attempt is made again, doubled up to the second one.
 RETRY_S = 0.2
-RETRY_MOST_S = 5.0
+RETRY_MAX_S = 5.0
 # Partitions that are fetched at once.
-CONCURRENT = 8
+MAX_CONCURRENT_FETCHES = 8
 # How partitions became active, for the time line.
-EMPTY = 'began empty'
-PASSED = 'window passed'
-TAKEN = 'taken over'
+STARTED_EMPTY = 'began empty'
+WINDOW_PASSED = 'window passed'
+TAKEN_OVER = 'taken over'
 RECOVERED = 'recovered'
 KEYS = 'keys'
 
@@ -46,7 +46,7 @@
 ]
 
 
-class Activation:
+class Activator:
     """Makes the seats of one process active.
 
     :param replica: the seats.
@@ -58,173 +58,226 @@
 
     def __init__(
         self,
-        replica: replicas.Replica,
-        transfers: transfer.Transfers,
+        replica_server: replica_servers.ReplicaServer,
+        transfer_server: transfer.TransferServer,
         call: Call,
         timeline: timelines.Timeline,
         rng: random.Random,
     ) -> None:
-        self.replica = replica
-        self.transfers = transfers
+        self.replica_server = replica_server
+        self.transfer_server = transfer_server
         self.call = call
         self.timeline = timeline
         self.rng = rng
         self.running: dict[int, asyncio.Task] = {}
-        self.gate = asyncio.Semaphore(CONCURRENT)
-        self.news: collections.Counter = collections.Counter()
-        replica.book.listeners.append(self._placed)
+        self.semaphore = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
+        self.activated: collections.Counter = collections.Counter()
+        replica_server.placement_table.listeners.append(self._on_placement)
 
     def stop(self) -> None:
         """End all attempts."""
         for task in self.running.values():
             task.cancel()
 
-    def _placed(self, row: placement.Placement) -> None:
+    def _on_placement(self, placement: placement_table.Placement) -> None:
         """Begin to activate the seat of a new placement."""
-        seat = self.replica.seats.get(row.partition)
-        wanted = seat is not None and seat.standing != seats.ACTIVE
-        if not wanted or row.partition in self.running:
+        replica = self.replica_server.partitions.get(placement.partition)
+        inactive = (
+            replica is not None and replica.state != partition_replicas.ACTIVE
+        )
+        if not inactive or placement.partition in self.running:
             return
-        if self._empty(seat):
-            self._activate(seat, EMPTY)
+        if self._can_start_empty(replica):
+            self._activate(replica, STARTED_EMPTY)
             return
-        task = asyncio.create_task(self._run(row.partition))
-        self.running[row.partition] = task
+        task = asyncio.create_task(self._run(placement.partition))
+        self.running[placement.partition] = task
 
     async def _run(self, partition: int) -> None:
         """Try until the seat is active or gone."""
         pause = RETRY_S
         try:
-            while self._wanted(partition):
-                async with self.gate:
-                    seat = self.replica.seats.get(partition)
-                    if seat is not None and await self._try(seat):
+            while self._needs_activation(partition):
+                async with self.semaphore:
+                    replica = self.replica_server.partitions.get(partition)
+                    if replica is not None and await self._try_activate(
+                        replica
+                    ):
                         continue
                 await asyncio.sleep(pause * self.rng.uniform(0.5, 1.0))
-                pause = min(2 * pause, RETRY_MOST_S)
+                pause = min(2 * pause, RETRY_MAX_S)
         finally:
             del self.running[partition]
 
-    def _wanted(self, partition: int) -> bool:
-        seat = self.replica.seats.get(partition)
+    def _needs_activation(self, partition: int) -> bool:
+        replica = self.replica_server.partitions.get(partition)
         return (
-            seat is not None
-            and seat.standing != seats.ACTIVE
-            and seat.row.member(self.replica.host) is not None
+            replica is not None
+            and replica.state != partition_replicas.ACTIVE
+            and replica.placement.member(self.replica_server.host) is not None
         )
 
-    def _native(self, seat: seats.Seat) -> bool:
+    def _never_voted(
+        self, replica: partition_replicas.PartitionReplica
+    ) -> bool:
         """Tell whether this process can't have voted in this epoch before.
 
         The epoch was decided when this very run of the process was known,
         so that no earlier run of it can have been active in the epoch; or
         whatever an earlier run voted for is void by now.
         """
-        me = seat.row.member(self.replica.host)
-        listed = me is not None and me.session == self.replica.session
-        return listed or self.transfers.waited()
+        me = replica.placement.member(self.replica_server.host)
+        listed = me is not None and me.session == self.replica_server.session
+        return listed or self.transfer_server.window_passed()
 
-    def _empty(self, seat: seats.Seat) -> bool:
+    def _can_start_empty(
+        self, replica: partition_replicas.PartitionReplica
+    ) -> bool:
         """Tell whether a seat may begin without any keys."""
-        if seat.row.member(self.replica.host) is None:
+        if replica.placement.member(self.replica_server.host) is None:
             return False
-        if not self._native(seat) or seat.row.previous:
+        if (
+            not self._never_voted(replica)
+            or replica.placement.previous_members
+        ):
             return False
-        return seat.row.epoch == 1 or self.transfers.waited()
+        return (
+            replica.placement.epoch == 1
+            or self.transfer_server.window_passed()
+        )
 
-    async def _try(self, seat: seats.Seat) -> bool:
-        if seat.row.member(self.replica.host) is None:
+    async def _try_activate(
+        self, replica: partition_replicas.PartitionReplica
+    ) -> bool:
+        if replica.placement.member(self.replica_server.host) is None:
             return False
-        if self._empty(seat):
-            self._activate(seat, PASSED)
+        if self._can_start_empty(replica):
+            self._activate(replica, WINDOW_PASSED)
             return True
-        if self._native(seat):
-            return await self._take_over(seat)
-        return await self._recover(seat)
+        if self._never_voted(replica):
+            return await self._take_over(replica)
+        return await self._recover(replica)
 
-    async def _take_over(self, seat: seats.Seat) -> bool:
+    async def _take_over(
+        self, replica: partition_replicas.PartitionReplica
+    ) -> bool:
         """Fetch from the epoch before, or from one that has done so."""
-        row = seat.row
-        host = self.replica.host
-        sealed = seat.standing == seats.SEALED or self.transfers.waited()
-        knows = {host} if row.before(host) and sealed else set()
-        need = placement.overlap(len(row.previous)) if row.previous else 1
-        for source in self._sources((*row.previous, *row.members)):
-            if row.previous and len(knows) >= need:
+        placement = replica.placement
+        host = self.replica_server.host
+        sealed = (
+            replica.state == partition_replicas.SEALED
+            or self.transfer_server.window_passed()
+        )
+        fetched = {host} if placement.was_member(host) and sealed else set()
+        required = (
+            placement_table.quorum_overlap(len(placement.previous_members))
+            if placement.previous_members
+            else 1
+        )
+        for source in self._sources(
+            (*placement.previous_members, *placement.members)
+        ):
+            if placement.previous_members and len(fetched) >= required:
                 break
-            standing = await self._fetch(seat, source, messages.TAKE_OVER)
-            if standing == messages.ACTIVE:
+            state = await self._fetch(replica, source, messages.TAKE_OVER)
+            if state == messages.ACTIVE:
                 # It holds all that the epoch before granted.
-                return self._done(seat, row, TAKEN)
-            if standing == messages.SEALED and row.before(source.host):
-                knows.add(source.host)
-        enough = bool(row.previous) and len(knows) >= need
-        return enough and self._done(seat, row, TAKEN)
+                return self._activate_if_current(
+                    replica, placement, TAKEN_OVER
+                )
+            if state == messages.SEALED and placement.was_member(source.host):
+                fetched.add(source.host)
+        enough = bool(placement.previous_members) and len(fetched) >= required
+        return enough and self._activate_if_current(
+            replica, placement, TAKEN_OVER
+        )
 
-    async def _recover(self, seat: seats.Seat) -> bool:
+    async def _recover(
+        self, replica: partition_replicas.PartitionReplica
+    ) -> bool:
         """Fetch from others of this epoch after a restart."""
-        row = seat.row
-        knows = 0
-        need = placement.overlap(len(row.members))
-        for source in self._sources(row.members):
-            if knows >= need:
+        placement = replica.placement
+        fetched = 0
+        required = placement_table.quorum_overlap(len(placement.members))
+        for source in self._sources(placement.members):
+            if fetched >= required:
                 break
-            standing = await self._fetch(seat, source, messages.RECOVER)
-            knows += standing == messages.ACTIVE
-        return knows >= need and self._done(seat, row, RECOVERED)
+            state = await self._fetch(replica, source, messages.RECOVER)
+            fetched += state == messages.ACTIVE
+        return fetched >= required and self._activate_if_current(
+            replica, placement, RECOVERED
+        )
 
     def _sources(
-        self, members: typing.Iterable[placement.Replica]
-    ) -> list[placement.Replica]:
+        self, members: typing.Iterable[placement_table.Replica]
+    ) -> list[placement_table.Replica]:
         """Return the other members, each once, in random order."""
-        others = {m.host: m for m in members if m.host != self.replica.host}
-        some = list(others.values())
-        self.rng.shuffle(some)
-        return some
+        others = {
+            m.host: m for m in members if m.host != self.replica_server.host
+        }
+        shuffled = list(others.values())
+        self.rng.shuffle(shuffled)
+        return shuffled
 
     async def _fetch(
-        self, seat: seats.Seat, source: placement.Replica, why: int
+        self,
+        replica: partition_replicas.PartitionReplica,
+        source: placement_table.Replica,
+        reason: int,
     ) -> int:
         """Fetch all keys of one source; return how it stands."""
-        row = seat.row
+        placement = replica.placement
         start = 0
         while True:
             ask = messages.Fetch(
-                row, self.replica.host, seat.session, why, start
+                placement,
+                self.replica_server.host,
+                replica.session,
+                reason,
+                start,
             )
             result = await self.call(source.peer, ask, PAGE_TIMEOUT_S)
             # The world may have changed while this task waited.
-            if result.is_error() or seat.row is not row:
-                return messages.UNABLE
+            if result.is_error() or replica.placement is not placement:
+                return messages.NOT_READY
             page: messages.Page = result.ok
             if page.rows is not None:
-                self.replica.book.take(messages.unpack(page.rows))
-            if page.standing == messages.BEHIND:
-                seat.session = page.session + 1
-            if page.standing not in (messages.SEALED, messages.ACTIVE):
-                return messages.UNABLE
+                self.replica_server.placement_table.update(
+                    messages.unpack_rows(page.rows)
+                )
+            if page.state == messages.STALE_SESSION:
+                replica.session = page.session + 1
+            if page.state not in (messages.SEALED, messages.ACTIVE):
+                return messages.NOT_READY
             for host, session in page.sessions:
-                if host in seat.known:
-                    seat.register(host, session)
-            released = self.replica.tombstones
-            if not transfer.merge(seat.store, page.entries, released):
-                return messages.UNABLE
-            if not page.next:
-                return page.standing
-            start = page.next
-
-    def _done(
-        self, seat: seats.Seat, row: placement.Placement, how: str
+                if host in replica.known_sessions:
+                    replica.record_session(host, session)
+            released = self.replica_server.tombstones
+            if not transfer.merge_entries(
+                replica.store, page.entries, released
+            ):
+                return messages.NOT_READY
+            if not page.next_start:
+                return page.state
+            start = page.next_start
+
+    def _activate_if_current(
+        self,
+        replica: partition_replicas.PartitionReplica,
+        placement: placement_table.Placement,
+        how: str,
     ) -> bool:
-        if seat.row is not row:
+        if replica.placement is not placement:
             return False
-        self._activate(seat, how)
+        self._activate(replica, how)
         return True
 
-    def _activate(self, seat: seats.Seat, how: str) -> None:
-        seat.standing = seats.ACTIVE
-        self.news[how] += 1
-        self.news[KEYS] += len(seat.store.records)
+    def _activate(
+        self, replica: partition_replicas.PartitionReplica, how: str
+    ) -> None:
+        replica.state = partition_replicas.ACTIVE
+        self.activated[how] += 1
+        self.activated[KEYS] += len(replica.store.records)
 
     def report(self) -> None:
         """Record what became active since the last report, in one event.
@@ -232,8 +285,10 @@
         A node of a small fleet holds hundreds of partitions; an event for
         each would push everything else off the time line.
         """
-        if not self.news:
+        if not self.activated:
             return
-        text = ', '.join('%s %d' % item for item in sorted(self.news.items()))
-        self.news.clear()
+        text = ', '.join(
+            '%s %d' % item for item in sorted(self.activated.items())
+        )
+        self.activated.clear()
         self.timeline.record('reservations-active', text)
--- a/carawaystair/reservations/upkeep.py
+++ b/carawaystair/reservations/manifest_sync.py
@@ -5,33 +5,33 @@
 
 from carawaystair import clock
 from carawaystair import manifest as manifests
-from carawaystair.reservations import ledger
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_state
+from carawaystair.reservations import placement_table
 from carawaystair.reservations import windows
 from carawaystair import routing as routings
 from carawaystair import rows
 
 
-class Upkeep:
+class ManifestSync:
     """Compares the manifest with the ledger."""
 
     def __init__(self) -> None:
         # Services that are no longer in the manifest, and since when.
-        self.gone: dict[str, float] = {}
+        self.removed_since: dict[str, float] = {}
         # Since when the longest window is shorter than the agreed one.
-        self.shorter: float | None = None
+        self.shorter_since: float | None = None
 
-    def due(
-        self, routing: routings.Routing, space: placement.Space
+    def due_changes(
+        self, routing: routings.Routing, key_space: placement_table.KeySpace
     ) -> typing.Iterator:
         """Yield the changes that are due."""
         services = routing.services()
         window = max(routing.service(n).key_window_s for n in services)
-        yield from self._window(float(window), space.window_s)
-        if space.regions:
-            yield from self._homes(routing, space)
+        yield from self._window_changes(float(window), key_space.window_s)
+        if key_space.regions:
+            yield from self._service_changes(routing, key_space)
 
-    def _window(self, wanted: float, agreed: float) -> typing.Iterator:
+    def _window_changes(self, wanted: float, agreed: float) -> typing.Iterator:
         """Raise the agreed window at once, lower it late.
 
         A replica that starts again abstains for the agreed window.  While
@@ -39,30 +39,37 @@
         let it vote too early.
         """
         if wanted >= agreed:
-            self.shorter = None
-        elif self.shorter is None:
-            self.shorter = clock.now()
-        late = windows.abstain_s(agreed)
-        due = self.shorter is not None and clock.now() - self.shorter > late
+            self.shorter_since = None
+        elif self.shorter_since is None:
+            self.shorter_since = clock.now()
+        delay_s = windows.abstention_s(agreed)
+        due = (
+            self.shorter_since is not None
+            and clock.now() - self.shorter_since > delay_s
+        )
         if wanted > agreed or due:
-            yield ledger.Window(wanted)
+            yield placement_state.SetMaxWindow(wanted)
 
-    def _homes(
-        self, routing: routings.Routing, space: placement.Space
-    ) -> typing.Iterator[ledger.Homes]:
+    def _service_changes(
+        self, routing: routings.Routing, key_space: placement_table.KeySpace
+    ) -> typing.Iterator[placement_state.AssignServices]:
         """Give new services a home, forget it after the service is gone."""
         services = set(routing.services())
-        known = {service for service, _home in space.homes}
+        known = {service for service, _region in key_space.key_regions}
         now = clock.now()
-        self.gone = {
-            service: self.gone.get(service, now)
+        self.removed_since = {
+            service: self.removed_since.get(service, now)
             for service in known - services
         }
-        late = windows.abstain_s(space.window_s)
-        drop = [name for name, at in self.gone.items() if now - at > late]
-        add = homeless(routing, space)
+        delay_s = windows.abstention_s(key_space.window_s)
+        drop = [
+            name
+            for name, at in self.removed_since.items()
+            if now - at > delay_s
+        ]
+        add = unassigned_services(routing, key_space)
         if add or drop:
-            yield ledger.Homes(add, tuple(sorted(drop)))
+            yield placement_state.AssignServices(add, tuple(sorted(drop)))
 
 
 def data_centres(routing: routings.Routing) -> tuple[str, ...]:
@@ -78,18 +85,21 @@
     )
 
 
-def homeless(
-    routing: routings.Routing, space: placement.Space
+def unassigned_services(
+    routing: routings.Routing, key_space: placement_table.KeySpace
 ) -> tuple[tuple[str, str], ...]:
     """Return the services that have no home, with the one they get."""
-    known = {service for service, _home in space.homes}
-    new = sorted(set(routing.services()) - known)
-    if not space.regions:
+    known = {service for service, _region in key_space.key_regions}
+    missing = sorted(set(routing.services()) - known)
+    if not key_space.regions:
         return ()
-    return tuple((name, _home(routing, name, space.regions)) for name in new)
+    return tuple(
+        (name, _region_for(routing, name, key_space.regions))
+        for name in missing
+    )
 
 
-def _home(
+def _region_for(
     routing: routings.Routing, service: str, regions: tuple[str, ...]
 ) -> str:
     """Return the region that is to hold a service's keys."""
--- a/carawaystair/reservations/messages.py
+++ b/carawaystair/reservations/messages.py
@@ -3,21 +3,21 @@
 import itertools
 import typing
 
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 from carawaystair import wire
 
 # What a replica says to an ask.
 YES = 1  # it holds the key for the asking token
 HELD = 2  # it holds the key for another token
 SETTLED = 3  # the request ran; here is its answer
-LARGE = 4  # the request ran; its answer was not kept
+DIGEST_ONLY = 4  # the request ran; its answer was not kept
 REUSED = 5  # the key stands for another request
 FULL = 6  # no memory left
-SHARE = 7  # the customer's share of the memory is used up
-ABSENT = 8  # no active replica of the partition at the epoch asked for
+CUSTOMER_FULL = 7  # the customer's share of the memory is used up
+NOT_ACTIVE = 8  # no active replica of the partition at the epoch asked for
 
 # Placements in one answer at most.
-PAGE_ROWS = 128
+MAX_ROWS = 128
 
 # What a control host says that could not have a change decided.
 UNDECIDED = -1
@@ -27,10 +27,10 @@
 RECOVER = 2  # its process started again within an epoch
 
 # How the other one stands.
-UNABLE = 0  # it doesn't know the keys itself
+NOT_READY = 0  # it doesn't know the keys itself
 SEALED = 1  # it was active in the epoch before and votes there no more
 ACTIVE = 2  # it votes in the epoch
-BEHIND = 3  # it knows a greater session of the asking host
+STALE_SESSION = 3  # it knows a greater session of the asking host
 
 
 @wire.register(100)
@@ -48,10 +48,10 @@
 
     partition: int
     epoch: int
-    name: bytes
+    key_digest: bytes
     token: bytes
-    digest: bytes
-    customer: int
+    request_digest: bytes
+    customer_id: int
     window_s: float
 
 
@@ -88,10 +88,10 @@
 
     partition: int
     epoch: int
-    name: bytes
+    key_digest: bytes
     token: bytes
     status: int
-    kept: bool
+    answer_kept: bool
     answer: bytes
     age_s: float
 
@@ -102,7 +102,7 @@
 
     partition: int
     epoch: int
-    name: bytes
+    key_digest: bytes
     token: bytes
 
 
@@ -129,10 +129,10 @@
     :param start: of the page.
     """
 
-    row: placement.Placement
+    placement: placement_table.Placement
     host: str
     session: int
-    why: int
+    reason: int
     start: int
 
 
@@ -144,9 +144,9 @@
     :param data: the packed record.
     """
 
-    name: bytes
-    left_s: float
-    data: bytes
+    key_digest: bytes
+    remaining_s: float
+    record: bytes
 
 
 class Row(typing.NamedTuple):
@@ -154,9 +154,9 @@
 
     partition: int
     epoch: int
-    stamp: int
+    version: int
     members: tuple[int, ...]
-    previous: tuple[int, ...] = ()
+    previous_members: tuple[int, ...] = ()
 
 
 @wire.register(108)
@@ -169,8 +169,8 @@
     :param more: whether there are more.
     """
 
-    space: placement.Space | None
-    replicas: tuple[placement.Replica, ...]
+    key_space: placement_table.KeySpace | None
+    replicas: tuple[placement_table.Replica, ...]
     rows: tuple[Row, ...]
     more: bool = False
 
@@ -187,11 +187,11 @@
     :param rows: newer placements than the asker's.
     """
 
-    standing: int
+    state: int
     session: int = 0
     sessions: tuple[tuple[str, int], ...] = ()
     entries: tuple[Entry, ...] = ()
-    next: int = 0
+    next_start: int = 0
     rows: Rows | None = None
 
 
@@ -204,18 +204,18 @@
     :param partition: ... and, with the same stamp, after this partition.
     """
 
-    version: int
-    stamp: int
-    partition: int
+    key_space_version: int
+    after_version: int
+    after_partition: int
 
 
 @wire.register(113)
 class AskPeerRows(typing.NamedTuple):
     """The same question to a node, while control does not answer."""
 
-    version: int
-    stamp: int
-    partition: int
+    key_space_version: int
+    after_version: int
+    after_partition: int
 
 
 @wire.register(109)
@@ -225,7 +225,7 @@
     :param data: see ``ledger.encode``.
     """
 
-    data: bytes
+    change: bytes
 
 
 @wire.register(110)
@@ -258,56 +258,61 @@
     :param used: share of its memory for keys that is used.
     """
 
-    replica: placement.Replica
-    active: tuple[tuple[int, int], ...]
-    used: float
+    replica: placement_table.Replica
+    active_epochs: tuple[tuple[int, int], ...]
+    memory_used: float
 
 
-def pack(
-    placements: typing.Sequence[placement.Placement],
-    space: placement.Space | None = None,
+def pack_rows(
+    placements: typing.Sequence[placement_table.Placement],
+    key_space: placement_table.KeySpace | None = None,
     more: bool = False,
 ) -> Rows:
     """Return placements with each replica written once."""
-    chains = (itertools.chain(p.members, p.previous) for p in placements)
+    chains = (
+        itertools.chain(p.members, p.previous_members) for p in placements
+    )
     replicas = dict.fromkeys(itertools.chain.from_iterable(chains))
-    places = {replica: place for place, replica in enumerate(replicas)}
+    indexes = {replica: index for index, replica in enumerate(replicas)}
     rows = tuple(
         Row(
             p.partition,
             p.epoch,
-            p.stamp,
-            tuple(places[m] for m in p.members),
-            tuple(places[m] for m in p.previous),
+            p.version,
+            tuple(indexes[m] for m in p.members),
+            tuple(indexes[m] for m in p.previous_members),
         )
         for p in placements
     )
-    return Rows(space, tuple(replicas), rows, more)
+    return Rows(key_space, tuple(replicas), rows, more)
 
 
-def answer(
-    book: placement.Book, ask: AskRows | AskPeerRows, limit: int = PAGE_ROWS
+def newer_rows(
+    table: placement_table.PlacementTable,
+    ask: AskRows | AskPeerRows,
+    limit: int = MAX_ROWS,
 ) -> Rows:
     """Return what a book has that is newer than the asker's."""
-    found = book.after(ask.stamp, ask.partition, limit + 1)
-    newer = book.space.version > ask.version
-    space = book.space if newer else None
-    return pack(found[:limit], space, len(found) > limit)
+    found = table.newer_than(ask.after_version, ask.after_partition, limit + 1)
+    newer = table.key_space.version > ask.key_space_version
+    key_space = table.key_space if newer else None
+    return pack_rows(found[:limit], key_space, len(found) > limit)
 
 
-def unpack(message: Rows) -> list[placement.Placement]:
+def unpack_rows(message: Rows) -> list[placement_table.Placement]:
     """Return the placements of :func:`pack`; broken rows are left out."""
-    some = message.replicas
+    replicas = message.replicas
     return [
-        placement.Placement(
+        placement_table.Placement(
             row.partition,
             row.epoch,
-            row.stamp,
-            tuple(some[place] for place in row.members),
-            tuple(some[place] for place in row.previous),
+            row.version,
+            tuple(replicas[index] for index in row.members),
+            tuple(replicas[index] for index in row.previous_members),
         )
         for row in message.rows
         if all(
-            0 <= place < len(some) for place in (*row.members, *row.previous)
+            0 <= index < len(replicas)
+            for index in (*row.members, *row.previous_members)
         )
     ]
--- a/carawaystair/reservations/outcomes.py
+++ b/carawaystair/reservations/outcomes.py
@@ -5,12 +5,12 @@
 
 from carawaystair import clock
 from carawaystair.reservations import messages
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 
 # An outcome that nobody acknowledged is sent again after so long; doubled
 # each time up to the second figure.
 RESEND_S = 0.05
-RESEND_MOST_S = 5.0
+RESEND_MAX_S = 5.0
 # After so long a replica that was not reached is given up; the key is then
 # unknown there until its window ends.
 GIVE_UP_S = 60.0
@@ -18,7 +18,7 @@
 MAX_PENDING = 10_000
 
 
-class Pending(typing.NamedTuple):
+class PendingOutcome(typing.NamedTuple):
     """One outcome under way.
 
     :param epoch: of the placement under which the token asked.
@@ -30,12 +30,12 @@
 
     epoch: int
     holders: frozenset[str] | None
-    addresses: set
-    majority: asyncio.Event
-    changed: asyncio.Event
+    acknowledged: set
+    majority_reached: asyncio.Event
+    new_acknowledgement: asyncio.Event
 
 
-class Outcomes:
+class OutcomeSender:
     """The outcomes that one process spreads.
 
     :param send: sends a datagram.
@@ -45,11 +45,11 @@
     def __init__(
         self,
         send: typing.Callable[[str, typing.Any], None],
-        book: placement.Book,
+        table: placement_table.PlacementTable,
     ) -> None:
         self.send = send
-        self.book = book
-        self.pending: dict[bytes, Pending] = {}
+        self.placement_table = table
+        self.pending: dict[bytes, PendingOutcome] = {}
         self.tasks: set[asyncio.Task] = set()
         self.given_up = 0
 
@@ -62,84 +62,92 @@
             the token; None for all.
         :return: an event that is set once a majority has it.
         """
-        pending = Pending(
+        pending = PendingOutcome(
             message.epoch, holders, set(), asyncio.Event(), asyncio.Event()
         )
         if holders is not None and not holders:
-            pending.majority.set()
-            return pending.majority
+            pending.majority_reached.set()
+            return pending.majority_reached
         if len(self.pending) >= MAX_PENDING:
             self._send(message, pending)
-            pending.majority.set()
-            return pending.majority
+            pending.majority_reached.set()
+            return pending.majority_reached
         self.pending[message.token] = pending
         self._send(message, pending)
-        task = asyncio.create_task(self._spread(message, pending))
+        task = asyncio.create_task(
+            self._resend_until_acknowledged(message, pending)
+        )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        return pending.majority
+        return pending.majority_reached
 
-    def done(self, sender: str, message: messages.Done) -> None:
+    def acknowledge(self, sender: str, message: messages.Done) -> None:
         """Take a replica's word that it has an outcome."""
         pending = self.pending.get(message.token)
         if pending is not None:
-            pending.addresses.add(sender)
-            pending.changed.set()
+            pending.acknowledged.add(sender)
+            pending.new_acknowledgement.set()
 
     def stop(self) -> None:
         """Give up whatever is under way."""
         for task in self.tasks:
             task.cancel()
 
-    async def _spread(self, message, pending: Pending) -> None:
+    async def _resend_until_acknowledged(
+        self, message, pending: PendingOutcome
+    ) -> None:
         until = clock.now() + GIVE_UP_S
         wait = RESEND_S
         try:
             while clock.now() < until:
-                pending.changed.clear()
-                heard = await _wait(pending.changed, wait)
-                if self._complete(message, pending):
+                pending.new_acknowledgement.clear()
+                notified = await _wait_for(pending.new_acknowledgement, wait)
+                if self._check_complete(message, pending):
                     return
-                if not heard:
+                if not notified:
                     self._send(message, pending)
-                    wait = min(2 * wait, RESEND_MOST_S)
+                    wait = min(2 * wait, RESEND_MAX_S)
             self.given_up += 1
         finally:
             self.pending.pop(message.token, None)
 
-    def _complete(self, message, pending: Pending) -> bool:
-        row = self.book.get(message.partition)
-        if row is None:
+    def _check_complete(self, message, pending: PendingOutcome) -> bool:
+        placement = self.placement_table.get(message.partition)
+        if placement is None:
             return False
-        wanted = _wanted(row, pending)
-        have = wanted & pending.addresses
-        if len(have) >= min(row.quorum, len(wanted)):
-            pending.majority.set()
-        return have == wanted
+        required = _required_addresses(placement, pending)
+        reached = required & pending.acknowledged
+        if len(reached) >= min(placement.quorum, len(required)):
+            pending.majority_reached.set()
+        return reached == required
 
-    def _send(self, message, pending: Pending) -> None:
+    def _send(self, message, pending: PendingOutcome) -> None:
         """Send to the replicas of the newest epoch that lack it."""
-        row = self.book.get(message.partition)
-        if row is None:
+        placement = self.placement_table.get(message.partition)
+        if placement is None:
             return
-        fresh = message._replace(epoch=row.epoch)
-        for address in sorted(_wanted(row, pending) - pending.addresses):
-            self.send(address, fresh)
+        current = message._replace(epoch=placement.epoch)
+        for address in sorted(
+            _required_addresses(placement, pending) - pending.acknowledged
+        ):
+            self.send(address, current)
 
 
-def _wanted(row: placement.Placement, pending: Pending) -> frozenset[str]:
+def _required_addresses(
+    placement: placement_table.Placement, pending: PendingOutcome
+) -> frozenset[str]:
     """Return the addresses of the replicas that need an outcome.
 
     In a later epoch that is everyone: who took over from whom is not known
     here.
     """
-    members = frozenset(member.gossip for member in row.members)
-    if pending.holders is None or row.epoch != pending.epoch:
+    members = frozenset(member.gossip for member in placement.members)
+    if pending.holders is None or placement.epoch != pending.epoch:
         return members
     return members & pending.holders
 
 
-async def _wait(event: asyncio.Event, timeout: float) -> bool:
+async def _wait_for(event: asyncio.Event, timeout: float) -> bool:
     """Wait for an event; tell whether it came in time."""
     try:
         return await asyncio.wait_for(event.wait(), timeout)
--- a/carawaystair/reservations/keeper.py
+++ b/carawaystair/reservations/placement_server.py
@@ -7,14 +7,14 @@
 
 from carawaystair import codes
 from carawaystair import interfaces
-from carawaystair.reservations import ledger as ledgers
 from carawaystair.reservations import messages
+from carawaystair.reservations import placement_state as placement_states
 
 
 class Group(typing.Protocol):
     """What a keeper needs of the control group."""
 
-    ledger: ledgers.Ledger
+    placement_state: placement_states.PlacementState
 
     async def propose(
         self, entry: bytes
@@ -22,7 +22,7 @@
         """Have an entry applied on every control host."""
 
 
-class Keeper(mode.Service):
+class PlacementServer(mode.Service):
     """Answers nodes on one control host.
 
     A control host that was cut off hands out old placements; nothing relies
@@ -43,18 +43,20 @@
     async def _on_ask(
         self, _sender: str, ask: messages.AskRows
     ) -> messages.Rows:
-        return messages.answer(self.group.ledger.book, ask)
+        return messages.newer_rows(
+            self.group.placement_state.placement_table, ask
+        )
 
     async def _on_propose(
         self, _sender: str, message: messages.Propose
     ) -> messages.Proposed:
-        entry = ledgers.PREFIX.encode() + message.data
+        entry = placement_states.PREFIX.encode() + message.change
         result = await self.group.propose(entry)
         if result.is_error():
             return messages.Proposed(messages.UNDECIDED)
         return messages.Proposed(int(result.ok))
 
 
-def make(kernel, group: Group) -> Keeper:
+def make(kernel, group: Group) -> PlacementServer:
     """Return the keeper of a control host."""
-    return Keeper(kernel.links, group)
+    return PlacementServer(kernel.links, group)
--- a/carawaystair/reservations/placement.py
+++ b/carawaystair/reservations/placement_table.py
@@ -3,12 +3,12 @@
 import itertools
 import typing
 
-from carawaystair.reservations import names
+from carawaystair.reservations import identifiers
 
 # Replicas of a partition: one in each data centre, this many at most, and
 # this many where there are fewer data centres but enough hosts.
-MOST = 5
-LEAST = 3
+MAX_REPLICAS = 5
+MIN_REPLICAS = 3
 # The ledger refuses placements with more.
 MAX_MEMBERS = 7
 
@@ -45,9 +45,9 @@
 
     partition: int
     epoch: int
-    stamp: int
+    version: int
     members: tuple[Replica, ...]
-    previous: tuple[Replica, ...] = ()
+    previous_members: tuple[Replica, ...] = ()
 
     @property
     def quorum(self) -> int:
@@ -58,13 +58,13 @@
         """Return the member on a host."""
         return next((m for m in self.members if m.host == host), None)
 
-    def sender(self, address: str) -> Replica | None:
+    def member_at(self, address: str) -> Replica | None:
         """Return the member that sends datagrams from an address."""
         return next((m for m in self.members if m.gossip == address), None)
 
-    def before(self, host: str) -> bool:
+    def was_member(self, host: str) -> bool:
         """Tell whether a host was a member in the epoch before."""
-        return any(m.host == host for m in self.previous)
+        return any(m.host == host for m in self.previous_members)
 
 
 def quorum(size: int) -> int:
@@ -72,7 +72,7 @@
     return size // 2 + 1
 
 
-def overlap(size: int) -> int:
+def quorum_overlap(size: int) -> int:
     """Return how many of ``size`` replicas meet every majority of them.
 
     So many must be heard to know of every grant, and so many that vote no
@@ -81,29 +81,29 @@
     return size - quorum(size) + 1
 
 
-def region(partition: int) -> int:
+def region_index(partition: int) -> int:
     """Return the place of the region that holds a partition."""
-    return partition // names.PARTITIONS
+    return partition // identifiers.PARTITIONS
 
 
-class Space(typing.NamedTuple):
+class KeySpace(typing.NamedTuple):
     """What holds for all partitions.
 
     :param version: of the ledger.
     :param window_s: no key is remembered for longer.
     :param regions: the regions that hold keys; the place of a region here
         times ``names.PARTITIONS`` is its first partition.
-    :param homes: the region, by its place, that holds the keys of each
+    :param key_regions: the region, by its place, that holds the keys of each
         service.
     """
 
     version: int = 0
     window_s: float = 0.0
     regions: tuple[str, ...] = ()
-    homes: tuple[tuple[str, int], ...] = ()
+    key_regions: tuple[tuple[str, int], ...] = ()
 
 
-class Book:
+class PlacementTable:
     """The placements as one process knows them.
 
     It may be old.  That is safe: a replica votes only for an ask that names
@@ -111,46 +111,50 @@
     """
 
     def __init__(self) -> None:
-        self.space = Space()
-        self.homes: dict[str, int] = {}
-        self.rows: dict[int, Placement] = {}
+        self.key_space = KeySpace()
+        self.key_regions: dict[str, int] = {}
+        self.by_partition: dict[int, Placement] = {}
         self.listeners: list[typing.Callable[[Placement], None]] = []
 
     def get(self, partition: int) -> Placement | None:
         """Return the placement of a partition, if it is known."""
-        return self.rows.get(partition)
+        return self.by_partition.get(partition)
 
     def partition(self, service: str, key: bytes) -> int | None:
         """Return the partition of a service's key, if it has a home."""
-        home = self.homes.get(service)
-        if home is None:
+        region = self.key_regions.get(service)
+        if region is None:
             return None
-        return home * names.PARTITIONS + names.partition(key)
+        return region * identifiers.PARTITIONS + identifiers.key_partition(key)
 
-    def take_space(self, space: Space) -> None:
+    def update_key_space(self, key_space: KeySpace) -> None:
         """Take what holds for all partitions, if it is newer."""
-        if space.version > self.space.version:
-            self.space = space
-            self.homes = dict(space.homes)
+        if key_space.version > self.key_space.version:
+            self.key_space = key_space
+            self.key_regions = dict(key_space.key_regions)
 
-    def take(self, rows: typing.Iterable[Placement]) -> int:
+    def update(self, placements: typing.Iterable[Placement]) -> int:
         """Take placements that are newer than the known ones."""
-        fresh = [row for row in rows if self._newer(row)]
-        for row in fresh:
-            self.rows[row.partition] = row
-        for row, listener in itertools.product(fresh, self.listeners):
-            listener(row)
-        return len(fresh)
-
-    def _newer(self, row: Placement) -> bool:
-        known = self.rows.get(row.partition)
-        return known is None or row.stamp > known.stamp
-
-    def after(self, stamp: int, partition: int, limit: int) -> list[Placement]:
+        newer = [p for p in placements if self._is_newer(p)]
+        for placement in newer:
+            self.by_partition[placement.partition] = placement
+        for placement, listener in itertools.product(newer, self.listeners):
+            listener(placement)
+        return len(newer)
+
+    def _is_newer(self, placement: Placement) -> bool:
+        known = self.by_partition.get(placement.partition)
+        return known is None or placement.version > known.version
+
+    def newer_than(
+        self, version: int, partition: int, limit: int
+    ) -> list[Placement]:
         """Return placements in the order of stamp and partition."""
         later = sorted(
-            (row.stamp, row.partition)
-            for row in self.rows.values()
-            if (row.stamp, row.partition) > (stamp, partition)
+            (placement.version, placement.partition)
+            for placement in self.by_partition.values()
+            if (placement.version, placement.partition) > (version, partition)
         )
-        return [self.rows[number] for _stamp, number in later[:limit]]
+        return [
+            self.by_partition[number] for _version, number in later[:limit]
+        ]
--- a/carawaystair/reservations/following.py
+++ b/carawaystair/reservations/placement_updates.py
@@ -10,16 +10,16 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.reservations import messages
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 
 # How often a process asks for newer placements; an old book costs a round
 # trip, never safety.
-POLL_S = 30.0
+POLL_INTERVAL_S = 30.0
 # The same while it knows none at all.
-FIRST_S = 0.3
+INITIAL_POLL_INTERVAL_S = 0.3
 # Between two questions that something else called for, at least.
-HURRY_S = 0.25
-CALL_S = 1.0
+MIN_POLL_INTERVAL_S = 0.25
+CALL_TIMEOUT_S = 1.0
 
 Call = typing.Callable[
     [str, typing.Any, float],
@@ -27,7 +27,7 @@
 ]
 
 
-class Following:
+class PlacementUpdater:
     """Asks control for newer placements, and peers while control is away.
 
     :param book: takes them.
@@ -39,40 +39,42 @@
 
     def __init__(
         self,
-        book: placement.Book,
+        table: placement_table.PlacementTable,
         call: Call,
         members: interfaces.Members,
         control_hosts: typing.Sequence[str],
         rng: random.Random,
     ) -> None:
-        self.book = book
+        self.placement_table = table
         self.call = call
         self.members = members
         self.control_hosts = tuple(control_hosts)
         self.rng = rng
-        self.wake = asyncio.Event()
+        self.refresh_requested = asyncio.Event()
         # Up to here nothing is missing, as far as control said.
-        self.stamp = 0
-        self.partition = -1
+        self.synced_version = 0
+        self.synced_partition = -1
 
-    def hurry(self) -> None:
+    def request_refresh(self) -> None:
         """Ask soon: the book must be old."""
-        self.wake.set()
+        self.refresh_requested.set()
 
     async def run(self) -> None:
         """Ask now and then, and when told to."""
         while True:
             started = clock.now()
             await self.refresh()
-            pause = POLL_S * self.rng.uniform(0.8, 1.2)
-            if not self.book.homes:
-                pause = FIRST_S
-            self.wake.clear()
+            pause = POLL_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+            if not self.placement_table.key_regions:
+                pause = INITIAL_POLL_INTERVAL_S
+            self.refresh_requested.clear()
             try:
-                await asyncio.wait_for(self.wake.wait(), pause)
+                await asyncio.wait_for(self.refresh_requested.wait(), pause)
             except asyncio.TimeoutError:
                 pass
-            await asyncio.sleep(max(started + HURRY_S - clock.now(), 0))
+            await asyncio.sleep(
+                max(started + MIN_POLL_INTERVAL_S - clock.now(), 0)
+            )
 
     async def refresh(self) -> bool:
         """Ask once; tell whether a control host answered."""
@@ -90,42 +92,54 @@
     async def _ask_control(self, host: str) -> bool:
         while True:
             ask = messages.AskRows(
-                self.book.space.version, self.stamp, self.partition
+                self.placement_table.key_space.version,
+                self.synced_version,
+                self.synced_partition,
             )
-            got = await self._take(host, ask)
-            if got is None:
+            answer = await self._fetch(host, ask)
+            if answer is None:
                 return False
-            if got.rows:
-                last = got.rows[-1]
-                self.stamp, self.partition = last.stamp, last.partition
-            if not got.more:
+            if answer.rows:
+                last = answer.rows[-1]
+                self.synced_version, self.synced_partition = (
+                    last.version,
+                    last.partition,
+                )
+            if not answer.more:
                 return True
 
     async def _ask_peer(self, peer: str) -> None:
         # A peer may lack placements older than its newest ones, so that its
         # answer doesn't say up to where nothing is missing.
-        stamp, partition = self.stamp, self.partition
+        synced_version, synced_partition = (
+            self.synced_version,
+            self.synced_partition,
+        )
         more = True
         while more:
             ask = messages.AskPeerRows(
-                self.book.space.version, stamp, partition
+                self.placement_table.key_space.version,
+                synced_version,
+                synced_partition,
             )
-            got = await self._take(peer, ask)
-            more = got is not None and got.more
+            answer = await self._fetch(peer, ask)
+            more = answer is not None and answer.more
             if more:
-                last = got.rows[-1]
-                stamp, partition = last.stamp, last.partition
+                last = answer.rows[-1]
+                synced_version, synced_partition = last.version, last.partition
 
-    async def _take(self, to: str, ask) -> messages.Rows | None:
-        result = await self.call(to, ask, CALL_S)
+    async def _fetch(self, address: str, ask) -> messages.Rows | None:
+        result = await self.call(address, ask, CALL_TIMEOUT_S)
         if result.is_error():
             return None
-        take(self.book, result.ok)
+        apply_rows(self.placement_table, result.ok)
         return result.ok
 
 
-def take(book: placement.Book, rows: messages.Rows) -> None:
+def apply_rows(
+    table: placement_table.PlacementTable, message: messages.Rows
+) -> None:
     """Take placements out of a message."""
-    if rows.space is not None:
-        book.take_space(rows.space)
-    book.take(messages.unpack(rows))
+    if message.key_space is not None:
+        table.update_key_space(message.key_space)
+    table.update(messages.unpack_rows(message))
--- a/carawaystair/reservations/service.py
+++ b/carawaystair/reservations/service.py
@@ -11,28 +11,28 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.reservations import activation
-from carawaystair.reservations import following
+from carawaystair.reservations import coordinator
+from carawaystair.reservations import identifiers
 from carawaystair.reservations import messages
-from carawaystair.reservations import names
-from carawaystair.reservations import owner
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
+from carawaystair.reservations import placement_updates
 from carawaystair.reservations import planner
-from carawaystair.reservations import replica
+from carawaystair.reservations import replica_server
 from carawaystair.reservations import store
 from carawaystair.reservations import transfer
 from carawaystair import routing as routings
 from carawaystair import timeline as timelines
 
-EXPIRE_EVERY_S = 5.0
+EXPIRE_INTERVAL_S = 5.0
 # A request whose key's replicas this node does not know yet waits for them in
 # steps of the first, up to the second: whoever is refused must be told soon.
-NOT_PLACED_S = 0.05
-NOT_PLACED_MOST_S = 0.3
+PLACEMENT_POLL_S = 0.05
+PLACEMENT_WAIT_MAX_S = 0.3
 # Memory for the keys kept here.
-CAPACITY = 16 * 1024 * 1024
+CAPACITY_BYTES = 16 * 1024 * 1024
 
 
-BY_DATAGRAM = (
+DATAGRAM_MESSAGES = (
     messages.Ask,
     messages.Vote,
     messages.Settle,
@@ -40,7 +40,7 @@
     messages.Done,
     messages.Rows,
 )
-BY_LINK = (
+LINK_MESSAGES = (
     messages.Rows,
     messages.Fetch,
     messages.Probe,
@@ -74,7 +74,7 @@
         timeline: timelines.Timeline,
         rng: random.Random,
         wall_ms: int,
-        capacity: int = CAPACITY,
+        capacity: int = CAPACITY_BYTES,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
@@ -84,50 +84,61 @@
         self.routing = routing
         self.rng = rng
         self.host = members.me.host
-        self.session = names.session(wall_ms, rng)
-        self.budget = store.Budget(capacity)
-        self.book = placement.Book()
-        self.following = following.Following(
-            self.book, transport.call, members, control_hosts, rng
+        self.session = identifiers.new_session(wall_ms, rng)
+        self.budget = store.MemoryBudget(capacity)
+        self.placement_table = placement_table.PlacementTable()
+        self.placement_updater = placement_updates.PlacementUpdater(
+            self.placement_table, transport.call, members, control_hosts, rng
         )
-        hurry = self.following.hurry
-        self.replica = replica.Replica(
-            self.host, self.session, self.book, self.budget, self._send, hurry
+        request_refresh = self.placement_updater.request_refresh
+        self.replica_server = replica_server.ReplicaServer(
+            self.host,
+            self.session,
+            self.placement_table,
+            self.budget,
+            self._send,
+            request_refresh,
         )
-        self.transfers = transfer.Transfers(self.replica)
-        self.activation = activation.Activation(
-            self.replica, self.transfers, transport.call, timeline, rng
+        self.transfer_server = transfer.TransferServer(self.replica_server)
+        self.activator = activation.Activator(
+            self.replica_server,
+            self.transfer_server,
+            transport.call,
+            timeline,
+            rng,
+        )
+        tokens = identifiers.TokenGenerator(self.host, self.session)
+        self.coordinator = coordinator.Coordinator(
+            self._send, self.placement_table, tokens, rng, request_refresh
         )
-        tokens = names.Tokens(self.host, self.session)
-        self.owner = owner.Owner(self._send, self.book, tokens, rng, hurry)
         self.planner = planner.Planner(
             members,
             routing,
-            self.following,
+            self.placement_updater,
             transport.call,
             transport.send,
             timeline,
         )
         self.handlers = {
-            messages.Ask: self.replica.ask,
-            messages.Settle: self.replica.settle,
-            messages.Release: self.replica.release,
-            messages.Vote: self.owner.vote,
-            messages.Done: self.owner.outcomes.done,
-            messages.Rows: self._rows,
-            messages.Fetch: self.transfers.fetch,
-            messages.Probe: self._probe,
-            messages.AskPeerRows: self._peer_rows,
+            messages.Ask: self.replica_server.on_ask,
+            messages.Settle: self.replica_server.on_settle,
+            messages.Release: self.replica_server.on_release,
+            messages.Vote: self.coordinator.on_vote,
+            messages.Done: self.coordinator.outcome_sender.acknowledge,
+            messages.Rows: self._on_rows,
+            messages.Fetch: self.transfer_server.on_fetch,
+            messages.Probe: self._on_probe,
+            messages.AskPeerRows: self._on_ask_peer_rows,
         }
-        for kind in BY_DATAGRAM:
+        for kind in DATAGRAM_MESSAGES:
             datagrams.handle(kind, self.handlers[kind])
-        for kind in BY_LINK:
+        for kind in LINK_MESSAGES:
             transport.handle(kind, self._receive)
 
     async def on_stop(self) -> None:
         """Stop what runs in the background."""
-        self.activation.stop()
-        self.owner.outcomes.stop()
+        self.activator.stop()
+        self.coordinator.outcome_sender.stop()
 
     # interfaces.Reservations
 
@@ -140,21 +151,21 @@
         deadline: float,
     ) -> expression.Result[interfaces.Reserved, codes.Failure]:
         """Reserve a key, see ``interfaces.Reservations``."""
-        if not 0 < len(key.encode()) <= names.MAX_KEY:
+        if not 0 < len(key.encode()) <= identifiers.MAX_KEY_BYTES:
             return codes.fail(codes.KEY_INVALID)
-        found = self.routing().service(service)
-        name = names.name(service, customer, key)
-        partition = await self._partition(service, name, deadline)
-        if found is None or partition is None:
+        settings = self.routing().service(service)
+        key_digest = identifiers.key_digest(service, customer, key)
+        partition = await self._partition(service, key_digest, deadline)
+        if settings is None or partition is None:
             return codes.fail(codes.KEYS_NOT_PLACED, service)
-        wish = owner.Wish(
+        request = coordinator.KeyRequest(
             partition,
-            name,
-            names.customer(customer),
-            names.request(digest),
-            found.key_window_s,
+            key_digest,
+            identifiers.customer_id(customer),
+            identifiers.request_digest(digest),
+            settings.key_window_s,
         )
-        return await self.owner.reserve(wish, deadline)
+        return await self.coordinator.reserve(request, deadline)
 
     async def settle(
         self, token: str, answer: bytes, status: int = 200
@@ -164,31 +175,34 @@
         Returns when a majority has it or a second has passed; it is sent on
         in the background.
         """
-        await self.owner.settle(token, answer, status)
+        await self.coordinator.settle(token, answer, status)
 
     async def release(self, token: str) -> None:
         """Give a key back, see ``interfaces.Reservations``."""
-        await self.owner.release(token)
+        await self.coordinator.release(token)
 
     async def _partition(
-        self, service: str, name: bytes, deadline: float
+        self, service: str, key_digest: bytes, deadline: float
     ) -> int | None:
         """Return the key's partition, once its placement is known.
 
         Before any region holds keys there is nothing to wait for.
         """
-        until = min(deadline, clock.now() + NOT_PLACED_MOST_S)
+        until = min(deadline, clock.now() + PLACEMENT_WAIT_MAX_S)
         while True:
-            number = self.book.partition(service, name)
-            if number is not None and self.book.get(number) is not None:
-                return number
-            self.following.hurry()
-            if number is None and self.book.space.regions:
-                self.planner.need_home()
-            late = clock.now() + NOT_PLACED_S >= until
-            if late or not self.book.space.regions:
+            partition = self.placement_table.partition(service, key_digest)
+            if (
+                partition is not None
+                and self.placement_table.get(partition) is not None
+            ):
+                return partition
+            self.placement_updater.request_refresh()
+            if partition is None and self.placement_table.key_space.regions:
+                self.planner.request_assignment()
+            late = clock.now() + PLACEMENT_POLL_S >= until
+            if late or not self.placement_table.key_space.regions:
                 return None
-            await asyncio.sleep(NOT_PLACED_S)
+            await asyncio.sleep(PLACEMENT_POLL_S)
 
     # Messages
 
@@ -202,21 +216,21 @@
     async def _receive(self, sender: str, message):
         return self.handlers[type(message)](sender, message)
 
-    def _rows(self, _sender: str, message: messages.Rows) -> None:
-        following.take(self.book, message)
+    def _on_rows(self, _sender: str, message: messages.Rows) -> None:
+        placement_updates.apply_rows(self.placement_table, message)
 
-    def _peer_rows(
+    def _on_ask_peer_rows(
         self, _sender: str, ask: messages.AskPeerRows
     ) -> messages.Rows:
-        return messages.answer(self.book, ask)
+        return messages.newer_rows(self.placement_table, ask)
 
-    def _probe(self, _sender: str, ask: messages.Probe) -> messages.Probed:
+    def _on_probe(self, _sender: str, ask: messages.Probe) -> messages.Probed:
         me = self.members.me
         return messages.Probed(
-            placement.Replica(
+            placement_table.Replica(
                 me.host, me.peer, me.gossip, me.data_centre, self.session
             ),
-            self.replica.active(ask.partitions),
+            self.replica_server.active_epochs(ask.partitions),
             self.budget.used / self.budget.capacity,
         )
 
@@ -225,7 +239,7 @@
     @mode.Service.task
     async def _follow(self) -> None:
         """Keep the book of placements new."""
-        await self.following.run()
+        await self.placement_updater.run()
 
     @mode.Service.task
     async def _plan(self) -> None:
@@ -233,14 +247,14 @@
         await self.planner.run()
 
     @mode.Service.task
-    async def _forget(self) -> None:
+    async def _expire(self) -> None:
         """Forget what may be forgotten."""
-        await self.forget()
+        await self.run_expiry()
 
-    async def forget(self) -> None:
+    async def run_expiry(self) -> None:
         """Forget keys whose window has passed, now and then."""
         while True:
-            await asyncio.sleep(EXPIRE_EVERY_S)
-            self.replica.expire()
-            self.owner.expire()
-            self.activation.report()
+            await asyncio.sleep(EXPIRE_INTERVAL_S)
+            self.replica_server.expire()
+            self.coordinator.expire()
+            self.activator.report()
--- a/carawaystair/reservations/store.py
+++ b/carawaystair/reservations/store.py
@@ -12,7 +12,7 @@
 # States of a record.
 HELD = 1  # voted for a token whose end is not known
 SETTLED = 2  # the request ran; the answer is kept
-LARGE = 3  # the request ran; status and digest of the answer are kept
+DIGEST_ONLY = 3  # the request ran; status and digest of the answer are kept
 BLOCKED = 4  # two tokens were found when keys were fetched: no vote for any
 
 # Bytes that a record costs beside its answer, measured by
@@ -26,9 +26,9 @@
 # The wheel may hold so many names more than the table before it is made
 # anew: a key that is reserved and released over and over leaves one each
 # time.
-SLACK = 1000
+WHEEL_SLACK = 1000
 
-_HEAD = struct.Struct('>16s16sQdBH')
+_HEADER = struct.Struct('>16s16sQdBH')
 
 
 class Record(typing.NamedTuple):
@@ -44,8 +44,8 @@
     """
 
     token: bytes
-    digest: bytes
-    customer: int
+    request_digest: bytes
+    customer_id: int
     expires: float
     state: int = HELD
     status: int = 0
@@ -54,7 +54,7 @@
 
 def pack(record: Record) -> bytes:
     """Return a record as one byte string."""
-    return _HEAD.pack(*record[:6]) + record.answer
+    return _HEADER.pack(*record[:6]) + record.answer
 
 
 def unpack(data: bytes) -> Record:
@@ -62,10 +62,10 @@
 
     :raises struct.error: when the data is too short.
     """
-    return Record(*_HEAD.unpack_from(data), data[_HEAD.size :])
+    return Record(*_HEADER.unpack_from(data), data[_HEADER.size :])
 
 
-class Budget:
+class MemoryBudget:
     """The memory that all partitions of one node share.
 
     :param capacity: bytes for records at most.
@@ -76,103 +76,109 @@
         self.capacity = capacity
         self.share = share
         self.used = 0
-        self.customers: collections.Counter = collections.Counter()
+        self.used_by_customer: collections.Counter = collections.Counter()
 
-    def full(self, size: int) -> bool:
+    def is_full(self, size: int) -> bool:
         """Tell whether ``size`` more bytes are too many."""
         return self.used + size > self.capacity
 
-    def over_share(self, customer: int, size: int) -> bool:
+    def exceeds_share(self, customer_id: int, size: int) -> bool:
         """Tell whether ``size`` more bytes exceed a customer's share."""
         limit = self.capacity * self.share
-        return self.customers[customer] + size > limit
+        return self.used_by_customer[customer_id] + size > limit
 
-    def take(self, customer: int, size: int) -> None:
+    def account(self, customer_id: int, size: int) -> None:
         """Account for ``size`` bytes, or give them back when negative."""
         self.used += size
-        self.customers[customer] += size
-        if not self.customers[customer]:
-            del self.customers[customer]
+        self.used_by_customer[customer_id] += size
+        if not self.used_by_customer[customer_id]:
+            del self.used_by_customer[customer_id]
 
 
-class Store:
+class RecordStore:
     """The records of one partition.
 
     :param budget: shared with the node's other partitions.
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: MemoryBudget) -> None:
         self.budget = budget
         self.records: dict[bytes, bytes] = {}
         self.wheel: dict[int, list[bytes]] = {}
-        self.turns = 0
+        self.wheel_entries = 0
 
-    def get(self, name: bytes, now: float) -> Record | None:
+    def get(self, key_digest: bytes, now: float) -> Record | None:
         """Return the record of a key, unless its window has passed."""
-        data = self.records.get(name)
+        data = self.records.get(key_digest)
         if data is None:
             return None
         record = unpack(data)
         return record if record.expires > now else None
 
-    def put(self, name: bytes, record: Record) -> None:
+    def put(self, key_digest: bytes, record: Record) -> None:
         """Store a record in place of what was there."""
-        old = self.records.get(name)
+        old_data = self.records.get(key_digest)
         expires = None
-        if old is not None:
-            before = unpack(old)
-            expires = before.expires
-            self._account(before, -1)
-        self.records[name] = pack(record)
+        if old_data is not None:
+            old_record = unpack(old_data)
+            expires = old_record.expires
+            self._account(old_record, -1)
+        self.records[key_digest] = pack(record)
         self._account(record, 1)
         if expires != record.expires:
-            self._turn(name, record.expires)
+            self._schedule_expiry(key_digest, record.expires)
 
-    def drop(self, name: bytes) -> None:
+    def drop(self, key_digest: bytes) -> None:
         """Forget a key; its place in the wheel is cleared in time."""
-        data = self.records.pop(name, None)
+        data = self.records.pop(key_digest, None)
         if data is not None:
             self._account(unpack(data), -1)
 
     def expire(self, now: float) -> int:
         """Forget the keys whose window has passed; return how many."""
-        due = [bucket for bucket in self.wheel if bucket * BUCKET_S <= now]
-        names = [name for bucket in due for name in self.wheel.pop(bucket)]
-        self.turns -= len(names)
-        gone = {
-            name
-            for name in names
-            if name in self.records
-            and unpack(self.records[name]).expires <= now
+        due_buckets = [
+            bucket for bucket in self.wheel if bucket * BUCKET_S <= now
+        ]
+        key_digests = [
+            key_digest
+            for bucket in due_buckets
+            for key_digest in self.wheel.pop(bucket)
+        ]
+        self.wheel_entries -= len(key_digests)
+        expired = {
+            key_digest
+            for key_digest in key_digests
+            if key_digest in self.records
+            and unpack(self.records[key_digest]).expires <= now
         }
-        for name in gone:
-            self.drop(name)
-        return len(gone)
+        for key_digest in expired:
+            self.drop(key_digest)
+        return len(expired)
 
     def clear(self) -> None:
         """Forget everything."""
-        for name in list(self.records):
-            self.drop(name)
+        for key_digest in list(self.records):
+            self.drop(key_digest)
         self.wheel.clear()
-        self.turns = 0
+        self.wheel_entries = 0
 
-    def _turn(self, name: bytes, expires: float) -> None:
-        if self.turns > 2 * len(self.records) + SLACK:
-            self._rebuild()
+    def _schedule_expiry(self, key_digest: bytes, expires: float) -> None:
+        if self.wheel_entries > 2 * len(self.records) + WHEEL_SLACK:
+            self._rebuild_wheel()
         # Rounded up: a record never goes before its time, and the buckets
         # are looked at when their end has passed.
         bucket = int(expires // BUCKET_S) + 1
-        self.wheel.setdefault(bucket, []).append(name)
-        self.turns += 1
+        self.wheel.setdefault(bucket, []).append(key_digest)
+        self.wheel_entries += 1
 
-    def _rebuild(self) -> None:
+    def _rebuild_wheel(self) -> None:
         self.wheel.clear()
-        self.turns = 0
-        for name, data in self.records.items():
+        self.wheel_entries = 0
+        for key_digest, data in self.records.items():
             bucket = int(unpack(data).expires // BUCKET_S) + 1
-            self.wheel.setdefault(bucket, []).append(name)
-            self.turns += 1
+            self.wheel.setdefault(bucket, []).append(key_digest)
+            self.wheel_entries += 1
 
     def _account(self, record: Record, sign: int) -> None:
         size = RECORD_BYTES + len(record.answer)
-        self.budget.take(record.customer, sign * size)
+        self.budget.account(record.customer_id, sign * size)
--- a/carawaystair/reservations/ballot.py
+++ b/carawaystair/reservations/vote_round.py
@@ -10,10 +10,10 @@
 import typing
 
 from carawaystair.reservations import messages
-from carawaystair.reservations import placement
+from carawaystair.reservations import placement_table
 
 
-class Verdict(typing.NamedTuple):
+class RoundResult(typing.NamedTuple):
     """What an attempt came to.
 
     :param granted: a majority holds the key for this token.
@@ -29,11 +29,11 @@
     vote: messages.Vote | None = None
     split: bool = False
     rival: bytes = b''
-    moved: bool = False
+    placement_changed: bool = False
     holders: frozenset[str] | None = None
 
 
-class Ballot:
+class VoteRound:
     """One attempt that collects votes.
 
     :param ask: what to ask.
@@ -45,34 +45,38 @@
     def __init__(
         self,
         ask: messages.Ask,
-        row: placement.Placement,
+        placement: placement_table.Placement,
         send: typing.Callable[[str, typing.Any], None],
         silent: typing.Container[str],
     ) -> None:
         self.ask = ask
-        self.row = row
+        self.placement = placement
         self.send = send
         self.votes: dict[str, messages.Vote] = {}
-        self.end: asyncio.Future = asyncio.get_running_loop().create_future()
-        self.first = preferred(ask.name, row, silent)
-        self.widened = False
-        for member in self.first:
+        self.future: asyncio.Future = (
+            asyncio.get_running_loop().create_future()
+        )
+        self.first_asked = preferred_replicas(
+            ask.key_digest, placement, silent
+        )
+        self.asked_all = False
+        for member in self.first_asked:
             send(member.gossip, ask)
 
-    def widen(self) -> None:
+    def ask_remaining(self) -> None:
         """Ask the replicas that were left out at first."""
-        if self.widened:
+        if self.asked_all:
             return
-        self.widened = True
-        for member in self.row.members:
-            if member not in self.first:
+        self.asked_all = True
+        for member in self.placement.members:
+            if member not in self.first_asked:
                 self.send(member.gossip, self.ask)
 
-    def again(self) -> list[str]:
+    def resend(self) -> list[str]:
         """Ask all that have not voted; return hosts that were silent."""
-        silent = [m.host for m in self.first if m.host not in self.votes]
-        self.widened = True
-        for member in self.row.members:
+        silent = [m.host for m in self.first_asked if m.host not in self.votes]
+        self.asked_all = True
+        for member in self.placement.members:
             if member.host not in self.votes:
                 self.send(member.gossip, self.ask)
         return silent
@@ -83,7 +87,7 @@
         One that said that another token holds the key is among them: a
         second copy of the ask may reach it when it has given that one up.
         """
-        asked = self.row.members if self.widened else self.first
+        asked = self.placement.members if self.asked_all else self.first_asked
         refused = {
             host
             for host, vote in self.votes.items()
@@ -91,32 +95,32 @@
         }
         return frozenset(m.gossip for m in asked if m.host not in refused)
 
-    def moved(self) -> None:
+    def cancel_for_new_epoch(self) -> None:
         """End the attempt because the placement changed."""
-        self._finish(Verdict(moved=True))
+        self._finish(RoundResult(placement_changed=True))
 
-    def take(self, sender: str, vote: messages.Vote) -> None:
+    def add_vote(self, sender: str, vote: messages.Vote) -> None:
         """Take a vote and end the attempt when it decides."""
-        member = self.row.sender(sender)
+        member = self.placement.member_at(sender)
         if vote.epoch != self.ask.epoch or member is None:
             return
-        if vote.verdict == messages.ABSENT:
+        if vote.verdict == messages.NOT_ACTIVE:
             # It may be active soon; it is asked again.
-            self.widen()
+            self.ask_remaining()
             return
         self.votes[member.host] = vote
-        self._drop_void()
-        verdict = self.verdict()
-        if verdict is not None:
-            self._finish(verdict)
-        elif all(m.host in self.votes for m in self.first):
-            self.widen()
-
-    def _finish(self, verdict: Verdict) -> None:
-        if not self.end.done():
-            self.end.set_result(verdict)
-
-    def _drop_void(self) -> None:
+        self._discard_void_votes()
+        result = self.evaluate()
+        if result is not None:
+            self._finish(result)
+        elif all(m.host in self.votes for m in self.first_asked):
+            self.ask_remaining()
+
+    def _finish(self, result: RoundResult) -> None:
+        if not self.future.done():
+            self.future.set_result(result)
+
+    def _discard_void_votes(self) -> None:
         """Forget votes of replicas that have started again since.
 
         Symptom without it: two tokens hold a majority.  Sequence: a replica
@@ -126,64 +130,73 @@
         vote that its replica has forgotten.  The others know of the new
         session when they vote, and say so.
         """
-        hosts = [member.host for member in self.row.members]
-        newest = [max(row) for row in zip(*(v.sessions for v in self._told()))]
-        for place, session in enumerate(newest):
-            vote = self.votes.get(hosts[place])
-            if vote is not None and vote.sessions[place] < session:
-                del self.votes[hosts[place]]
-
-    def _told(self) -> list[messages.Vote]:
-        size = len(self.row.members)
+        hosts = [member.host for member in self.placement.members]
+        newest = [
+            max(sessions)
+            for sessions in zip(
+                *(v.sessions for v in self._votes_with_sessions())
+            )
+        ]
+        for index, session in enumerate(newest):
+            vote = self.votes.get(hosts[index])
+            if vote is not None and vote.sessions[index] < session:
+                del self.votes[hosts[index]]
+
+    def _votes_with_sessions(self) -> list[messages.Vote]:
+        size = len(self.placement.members)
         return [v for v in self.votes.values() if len(v.sessions) == size]
 
-    def verdict(self) -> Verdict | None:
+    def evaluate(self) -> RoundResult | None:
         """Return what the votes come to; None when more are needed."""
         votes = list(self.votes.values())
         decisive = next((v for v in votes if v.verdict in _DECISIVE), None)
         if decisive is not None:
-            return Verdict(vote=decisive)
-        quorum = self.row.quorum
+            return RoundResult(vote=decisive)
+        quorum = self.placement.quorum
         yes = sum(vote.verdict == messages.YES for vote in votes)
         if yes >= quorum:
-            return Verdict(granted=True)
-        if yes + len(self.row.members) - len(votes) >= quorum:
+            return RoundResult(granted=True)
+        if yes + len(self.placement.members) - len(votes) >= quorum:
             return None
-        return self._lost(votes)
+        return self._no_majority(votes)
 
-    def _lost(self, votes: list[messages.Vote]) -> Verdict:
+    def _no_majority(self, votes: list[messages.Vote]) -> RoundResult:
         """Return the verdict when no majority can be had any more."""
         held = [v for v in votes if v.verdict == messages.HELD]
         if not held:
-            return Verdict(vote=next(iter(_refusals(votes))))
+            return RoundResult(vote=next(iter(_memory_refusals(votes))))
         holders = collections.Counter(vote.holder for vote in held)
-        rival, most = holders.most_common(1)[0]
-        if most >= self.row.quorum:
-            return Verdict(vote=held[0])
-        return Verdict(split=True, rival=rival)
+        rival, count = holders.most_common(1)[0]
+        if count >= self.placement.quorum:
+            return RoundResult(vote=held[0])
+        return RoundResult(split=True, rival=rival)
 
-    def undecided(self) -> Verdict:
+    def timed_out(self) -> RoundResult:
         """Return the verdict when time is up."""
         votes = list(self.votes.values())
         held = [v for v in votes if v.verdict == messages.HELD]
-        return Verdict(vote=next(iter([*held, *_refusals(votes)]), None))
+        return RoundResult(
+            vote=next(iter([*held, *_memory_refusals(votes)]), None)
+        )
 
 
-def preferred(
-    name: bytes,
-    row: placement.Placement,
+def preferred_replicas(
+    key_digest: bytes,
+    placement: placement_table.Placement,
     silent: typing.Container[str],
-) -> list[placement.Replica]:
+) -> list[placement_table.Replica]:
     """Return the replicas to ask first, the same ones at every node."""
-    start = name[-1] % len(row.members)
-    turned = row.members[start:] + row.members[:start]
-    turned = sorted(turned, key=lambda member: member.host in silent)
-    return turned[: row.quorum]
+    start = key_digest[-1] % len(placement.members)
+    rotated = placement.members[start:] + placement.members[:start]
+    rotated = sorted(rotated, key=lambda member: member.host in silent)
+    return rotated[: placement.quorum]
 
 
-_DECISIVE = (messages.SETTLED, messages.LARGE, messages.REUSED)
+_DECISIVE = (messages.SETTLED, messages.DIGEST_ONLY, messages.REUSED)
 
 
-def _refusals(votes: typing.Iterable[messages.Vote]) -> list[messages.Vote]:
-    full = (messages.FULL, messages.SHARE)
+def _memory_refusals(
+    votes: typing.Iterable[messages.Vote],
+) -> list[messages.Vote]:
+    full = (messages.FULL, messages.CUSTOMER_FULL)
     return [vote for vote in votes if vote.verdict in full]
--- a/carawaystair/reservations/windows.py
+++ b/carawaystair/reservations/windows.py
@@ -11,19 +11,19 @@
 MARGIN_S = 60.0
 # Rate difference of two clocks that is allowed for, as a share of the window.
 # Crystals are within 0.0002 and time daemons slew by at most 0.0005.
-DRIFT = 0.001
+MAX_CLOCK_DRIFT = 0.001
 
 
-def keep_s(window_s: float) -> float:
+def retention_s(window_s: float) -> float:
     """Return how long a replica keeps a key with this window."""
-    return window_s * (1 + DRIFT) + MARGIN_S
+    return window_s * (1 + MAX_CLOCK_DRIFT) + MARGIN_S
 
 
-def abstain_s(window_s: float) -> float:
+def abstention_s(window_s: float) -> float:
     """Return how long a replica that forgot everything must not vote.
 
     After that nothing counts any more that it may have voted for before it
     started again.  One margin more than the longest keep: its clock may run
     faster than that of the owner of a grant.
     """
-    return keep_s(window_s) * (1 + DRIFT) + MARGIN_S
+    return retention_s(window_s) * (1 + MAX_CLOCK_DRIFT) + MARGIN_S
--- a/test/reservation_fleet.py
+++ b/test/reservation_fleet.py
@@ -8,9 +8,9 @@
 from carawaystair import clock
 from carawaystair import invariants
 from carawaystair import manifest
-from carawaystair.reservations import keeper
-from carawaystair.reservations import ledger
-from carawaystair.reservations import names
+from carawaystair.reservations import identifiers
+from carawaystair.reservations import placement_server
+from carawaystair.reservations import placement_state
 from carawaystair.reservations import service
 from carawaystair import routing
 from carawaystair import rows
@@ -65,11 +65,11 @@
     """A control group of one that keeps the placements."""
 
     def __init__(self):
-        self.ledger = ledger.Ledger()
+        self.placement_state = placement_state.PlacementState()
 
     async def propose(self, entry):
         """Apply an entry."""
-        return expression.Ok(self.ledger.apply(rows.NONE, entry[1:]))
+        return expression.Ok(self.placement_state.apply(rows.NONE, entry[1:]))
 
 
 class Fleet:
@@ -103,7 +103,9 @@
             for member in self.members
         }
         self.group = Group()
-        self.keeper = keeper.Keeper(network.transport(CONTROL), self.group)
+        self.placement_server = placement_server.PlacementServer(
+            network.transport(CONTROL), self.group
+        )
         self.nodes = {}
         self.starts = 0
         self.auditor = Auditor(window_s)
@@ -113,10 +115,10 @@
         for number in numbers or range(len(self.members)):
             member = self.members[number]
             self.starts += 1
-            end = self.network.transport(member.peer)
+            transport = self.network.transport(member.peer)
             node = service.Reservations(
-                end,
-                end,
+                transport,
+                transport,
                 self.views[member.host],
                 lambda: self.routing,
                 [CONTROL],
@@ -127,7 +129,11 @@
             )
             # In this order: mode starts its tasks in the order of a set,
             # which differs from one run of Python to the next.
-            loops = (node.following.run, node.planner.run, node.forget)
+            loops = (
+                node.placement_updater.run,
+                node.planner.run,
+                node.run_expiry,
+            )
             node.loops = [asyncio.ensure_future(loop()) for loop in loops]
             self.nodes[number] = node
 
@@ -160,18 +166,20 @@
 
     def holders(self, key='k', customer='c'):
         """Return the numbers of the nodes that hold a key."""
-        book = self.group.ledger.book
-        name = names.name('pay', customer, key)
-        row = book.get(book.partition('pay', name))
+        table = self.group.placement_state.placement_table
+        key_digest = identifiers.key_digest('pay', customer, key)
+        placement = table.get(table.partition('pay', key_digest))
         hosts = [member.host for member in self.members]
-        return [hosts.index(member.host) for member in row.members]
+        return [hosts.index(member.host) for member in placement.members]
 
     def record(self, number, key='k', customer='c'):
         """Return what one node holds of a key."""
-        name = names.name('pay', customer, key)
+        key_digest = identifiers.key_digest('pay', customer, key)
         node = self.nodes[number]
-        seat = node.replica.seats[node.book.partition('pay', name)]
-        return seat.store.get(name, clock.now())
+        replica = node.replica_server.partitions[
+            node.placement_table.partition('pay', key_digest)
+        ]
+        return replica.store.get(key_digest, clock.now())
 
     def outsiders(self, key='k'):
         """Return the numbers of nodes that do not hold a key."""
--- a/test/reservation_mutants.py
+++ b/test/reservation_mutants.py
@@ -1,93 +1,100 @@
-"""Protections of the reservations, each with a way to take it out.
+"""Mutants of the reservations: each function removes one protection.
 
-The tests show that every one of them is needed: without it a key is granted
+The tests show that every protection is needed: without it a key is granted
 twice.
 """
 
 from carawaystair.reservations import activation
-from carawaystair.reservations import ballot
-from carawaystair.reservations import placement
-from carawaystair.reservations import replica
-from carawaystair.reservations import seat
+from carawaystair.reservations import partition_replica
+from carawaystair.reservations import placement_table
+from carawaystair.reservations import replica_server
 from carawaystair.reservations import store
 from carawaystair.reservations import transfer
+from carawaystair.reservations import vote_round
 from carawaystair.reservations import windows
 
 
-def majority(patch):
+def grant_with_half(patch):
     """Grant with half of the replicas."""
-    patch.setattr(placement, 'quorum', lambda size: size // 2)
+    patch.setattr(placement_table, 'quorum', lambda size: size // 2)
 
 
-def recovery(patch):
-    """Let a restarted replica vote at once, knowing nothing."""
-    patch.setattr(activation.Activation, '_empty', lambda *_: True)
+def skip_recovery(patch):
+    """Let a restarted replica vote at once, without its records."""
+    patch.setattr(activation.Activator, '_can_start_empty', lambda *_: True)
 
 
-def session(patch):
-    """Let a restarted replica take itself for one that is new."""
-    patch.setattr(activation.Activation, '_native', lambda *_: True)
+def ignore_restart(patch):
+    """Treat a restarted replica as one that has never voted."""
+    patch.setattr(activation.Activator, '_never_voted', lambda *_: True)
 
 
-def waiting(patch):
-    """Let a restarted replica not wait for the window to pass."""
-    patch.setattr(transfer.Transfers, 'waited', lambda *_: True)
+def skip_window_wait(patch):
+    """Let a restarted replica vote before the window has passed."""
+    patch.setattr(transfer.TransferServer, 'window_passed', lambda *_: True)
 
 
-def overlap(patch):
-    """Let one source be enough to fetch keys from."""
-    patch.setattr(placement, 'overlap', lambda size: 1)
+def fetch_from_one(patch):
+    """Let a replica fetch keys from a single source."""
+    patch.setattr(placement_table, 'quorum_overlap', lambda size: 1)
 
 
-def seal(patch):
-    """Let old members vote on in the next epoch without a handover."""
+def skip_sealing(patch):
+    """Let old members vote in the next epoch without a handover."""
 
-    def _move(self, row):
-        self.row = row
-        self._know(row)
+    def _on_placement(self, placement):
+        self.placement = placement
+        self._update_sessions(placement)
 
-    patch.setattr(seat.Seat, 'move', _move)
+    patch.setattr(
+        partition_replica.PartitionReplica, 'on_placement', _on_placement
+    )
 
 
-def epoch(patch):
-    """Let a sealed replica vote on in the epoch before."""
-    strict = replica.Replica._seat
+def vote_in_old_epoch(patch):
+    """Let a sealed replica vote in the previous epoch."""
+    strict = replica_server.ReplicaServer._active_replica
 
-    def _seat(self, sender, message):
-        found = self.seats.get(message.partition)
-        old = found is not None and message.epoch == found.row.epoch - 1
-        return found if old else strict(self, sender, message)
+    def _active_replica(self, sender, message):
+        replica = self.partitions.get(message.partition)
+        old = (
+            replica is not None
+            and message.epoch == replica.placement.epoch - 1
+        )
+        return replica if old else strict(self, sender, message)
 
-    patch.setattr(replica.Replica, '_seat', _seat)
+    patch.setattr(
+        replica_server.ReplicaServer, '_active_replica', _active_replica
+    )
 
 
-def void(patch):
-    """Count votes that a replica cast before it started again."""
-    patch.setattr(ballot.Ballot, '_drop_void', lambda *_: None)
+def count_void_votes(patch):
+    """Count votes that a replica cast before it restarted."""
+    patch.setattr(vote_round.VoteRound, '_discard_void_votes', lambda *_: None)
 
 
-def blocked(patch):
-    """Let a replica that finds two tokens for a key choose one."""
+def choose_one_token(patch):
+    """Let a replica that finds two tokens for a key keep one of them."""
 
-    def _joined(one, two):
-        ran = two if one.state == store.HELD else one
-        return ran._replace(expires=max(one.expires, two.expires))
+    def _merge_records(first, second):
+        settled = second if first.state == store.HELD else first
+        return settled._replace(expires=max(first.expires, second.expires))
 
-    patch.setattr(transfer, 'joined', _joined)
+    patch.setattr(transfer, 'merge_records', _merge_records)
 
 
-def window(patch):
+def halve_window(patch):
     """Forget keys after half of their window."""
-    patch.setattr(windows, 'keep_s', lambda window_s: window_s / 2)
+    patch.setattr(windows, 'retention_s', lambda window_s: window_s / 2)
 
 
-def token(patch):
-    """Let a release free a key whoever holds it."""
+def release_any_token(patch):
+    """Let a release free a key whichever token holds it."""
 
-    def _release(self, sender, message):
-        found = self.seats.get(message.partition)
-        if found is not None:
-            found.store.drop(message.name)
-        self._done(sender, message)
+    def _on_release(self, sender, message):
+        replica = self.partitions.get(message.partition)
+        if replica is not None:
+            replica.store.drop(message.key_digest)
+        self._acknowledge(sender, message)
 
-    patch.setattr(replica.Replica, 'release', _release)
+    patch.setattr(replica_server.ReplicaServer, 'on_release', _on_release)
--- a/test/test_reservation_transfers.py
+++ b/test/test_reservation_transfers.py
@@ -5,14 +5,14 @@
 
 from carawaystair import clock
 from carawaystair.reservations import messages
-from carawaystair.reservations import seat as seats
+from carawaystair.reservations import partition_replica as partition_replicas
 from carawaystair.reservations import store
 from carawaystair.reservations import transfer
 from test import fakes
 
 # More than the transfers that one process serves at once.
 READERS = 2 * transfer.MAX_TRANSFERS + 10
-KEYS = 3 * transfer.PAGE_KEYS - 1
+KEYS = 3 * transfer.MAX_PAGE_KEYS - 1
 
 
 def record():
@@ -25,23 +25,26 @@
     """Return the transfers of a process with many partitions of keys."""
     data = record()
     kept = {b'%d' % number: data for number in range(KEYS)}
-    found = {
+    replicas = {
         number: types.SimpleNamespace(
-            row=types.SimpleNamespace(partition=number, epoch=1),
-            standing=seats.ACTIVE,
+            placement=types.SimpleNamespace(partition=number, epoch=1),
+            state=partition_replicas.ACTIVE,
             store=types.SimpleNamespace(records=kept),
-            known={},
+            known_sessions={},
         )
         for number in range(READERS)
     }
-    replica = types.SimpleNamespace(
-        seats=found, book=types.SimpleNamespace(take=lambda _rows: None)
+    server = types.SimpleNamespace(
+        partitions=replicas,
+        placement_table=types.SimpleNamespace(update=lambda _placements: None),
     )
-    return transfer.Transfers(replica), found
+    return transfer.TransferServer(server), replicas
 
 
-def ask(seat, start):
-    return messages.Fetch(seat.row, 'asker', 1, messages.TAKE_OVER, start)
+def ask(replica, start):
+    return messages.Fetch(
+        replica.placement, 'asker', 1, messages.TAKE_OVER, start
+    )
 
 
 def test_transfers_end_although_more_are_asked_for_than_served_at_once():
@@ -54,13 +57,15 @@
     """
 
     async def scenario():
-        transfers, found = serving()
-        starts = dict.fromkeys(found, 0)
+        transfer_server, replicas = serving()
+        starts = dict.fromkeys(replicas, 0)
         for _turn in range(12):
             for number, start in list(starts.items()):
-                page = transfers.fetch('asker', ask(found[number], start))
-                starts[number] = page.next
-                if page.standing == messages.ACTIVE and not page.next:
+                page = transfer_server.on_fetch(
+                    'asker', ask(replicas[number], start)
+                )
+                starts[number] = page.next_start
+                if page.state == messages.ACTIVE and not page.next_start:
                     del starts[number]
         return starts
 
@@ -69,13 +74,15 @@
 
 def test_transfer_that_nobody_reads_on_makes_place():
     async def scenario():
-        transfers, found = serving()
+        transfer_server, replicas = serving()
         for number in range(transfer.MAX_TRANSFERS):
-            transfers.fetch('asker', ask(found[number], 0))
-        late = ask(found[READERS - 1], 0)
-        assert transfers.fetch('asker', late).standing == messages.UNABLE
-        await asyncio.sleep(transfer.UNREAD_S)
-        assert transfers.fetch('asker', late).standing == messages.ACTIVE
-        assert len(transfers.under_way) == 1
+            transfer_server.on_fetch('asker', ask(replicas[number], 0))
+        late = ask(replicas[READERS - 1], 0)
+        assert (
+            transfer_server.on_fetch('asker', late).state == messages.NOT_READY
+        )
+        await asyncio.sleep(transfer.IDLE_TIMEOUT_S)
+        assert transfer_server.on_fetch('asker', late).state == messages.ACTIVE
+        assert len(transfer_server.open_transfers) == 1
 
     fakes.run(scenario())
--- a/test/test_reservations.py
+++ b/test/test_reservations.py
@@ -7,7 +7,7 @@
 
 from carawaystair import codes
 from carawaystair import invariants
-from carawaystair.reservations import names
+from carawaystair.reservations import identifiers
 from carawaystair.reservations import planner
 from test import fakes
 from test import reservation_fleet
@@ -19,7 +19,7 @@
 @pytest.fixture(autouse=True)
 def small(monkeypatch):
     """Few partitions, and hosts that are replaced soon."""
-    monkeypatch.setattr(names, 'PARTITIONS', 4)
+    monkeypatch.setattr(identifiers, 'PARTITIONS', 4)
     monkeypatch.setattr(planner, 'REPLACE_AFTER_S', 2.0)
 
 
@@ -66,7 +66,7 @@
         await fleet.nodes[0].settle(first.ok.token, answer, 201)
         again = (await fleet.reserve(1)).ok
         assert again.status == 201 and again.answer is None
-        assert again.digest == names.answer(answer)
+        assert again.digest == identifiers.answer_digest(answer)
 
     play(_scene)
 
@@ -214,12 +214,12 @@
 
     async def _scene(fleet, _network):
         first = await fleet.reserve(0)
-        grant = fleet.nodes[0].owner.grants[first.ok.token]
+        grant = fleet.nodes[0].coordinator.grants[first.ok.token]
         await fleet.release(0, first)
         second = await fleet.reserve(1)
         assert second.ok.granted
         for late in (fleet.nodes[0].release, fleet.nodes[0].settle):
-            fleet.nodes[0].owner.grants[first.ok.token] = grant
+            fleet.nodes[0].coordinator.grants[first.ok.token] = grant
             extra = (b'old',) if late == fleet.nodes[0].settle else ()
             await late(first.ok.token, *extra)
         assert running(await fleet.reserve(2))
@@ -501,11 +501,11 @@
 
 
 SCENES = {
-    'void': _void_votes,
-    'blocked': _two_tokens,
-    'epoch': _old_epoch,
-    'seal': _half_known,
-    'overlap': _half_known,
+    'count_void_votes': _void_votes,
+    'choose_one_token': _two_tokens,
+    'vote_in_old_epoch': _old_epoch,
+    'skip_sealing': _half_known,
+    'fetch_from_one': _half_known,
 }
 
 
@@ -537,6 +537,6 @@
         asyncio.get_running_loop().virtual.time += 4.0
         result = await task
         assert result.error.code == codes.KEY_NO_MAJORITY
-        assert not node.owner.grants
+        assert not node.coordinator.grants
 
     play(_scene)
--- a/test/test_reservations_feature.py
+++ b/test/test_reservations_feature.py
@@ -6,7 +6,7 @@
 import pytest_bdd
 from pytest_bdd import parsers
 
-from carawaystair.reservations import names
+from carawaystair.reservations import identifiers
 from carawaystair.reservations import planner
 from test import fakes
 from test import reservation_fleet
@@ -58,7 +58,7 @@
 @pytest.fixture(autouse=True)
 def small(monkeypatch):
     """Few partitions, and hosts that are replaced soon."""
-    monkeypatch.setattr(names, 'PARTITIONS', 4)
+    monkeypatch.setattr(identifiers, 'PARTITIONS', 4)
     monkeypatch.setattr(planner, 'REPLACE_AFTER_S', 2.0)
 
 
--- a/test/test_reservations_storm.py
+++ b/test/test_reservations_storm.py
@@ -5,7 +5,7 @@
 import pytest
 
 from carawaystair import invariants
-from carawaystair.reservations import names
+from carawaystair.reservations import identifiers
 from carawaystair.reservations import planner
 from carawaystair.reservations import windows
 from test import fakes
@@ -15,13 +15,20 @@
 SECONDS = 45
 # These show soon in random runs; the others have scenes of their own in
 # test_reservations.py.
-SHOWN = ('majority', 'recovery', 'session', 'waiting', 'window', 'token')
+SHOWN = (
+    'grant_with_half',
+    'skip_recovery',
+    'ignore_restart',
+    'skip_window_wait',
+    'halve_window',
+    'release_any_token',
+)
 
 
 @pytest.fixture(autouse=True)
 def small(monkeypatch):
     """Few partitions, short windows, hosts that are replaced soon."""
-    monkeypatch.setattr(names, 'PARTITIONS', 4)
+    monkeypatch.setattr(identifiers, 'PARTITIONS', 4)
     monkeypatch.setattr(planner, 'REPLACE_AFTER_S', 2.0)
     monkeypatch.setattr(windows, 'MARGIN_S', 15.0)
 
