--- a/carawaystair/gateway/door.py
+++ b/carawaystair/gateway/door.py
@@ -214,7 +214,7 @@
             source = bodies.Source(content, length, data, NO_LIMIT)
             return works.Body(None, source)
         begun = await bodies.read_start(content, NO_LIMIT, until)
-        if begun.whole:
+        if begun.complete:
             return works.Body(begun.data)
         source = bodies.Source(content, None, begun.data, NO_LIMIT)
         return works.Body(None, source)
--- a/carawaystair/quarantine/crash_detection.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -1,6 +1,6 @@
 """Tells crashes of upstreams from broken connections.
 
-A connection that breaks under a request may have been reset on its way, or by
+A connection that suspected under a request may have been reset on its way, or by
 an upstream that goes on working.  A crash also refuses the next connection, or
 is followed by another start of the upstream.
 """
@@ -25,7 +25,7 @@
 FOLLOWED = 'it started anew or fell silent'
 
 
-class Break:
+class SuspectedCrash:
     """Runs of one life of an upstream that broke together.
 
     :param target: the upstream.
@@ -34,8 +34,8 @@
 
     def __init__(self, target: targets.Target, now: float) -> None:
         self.target = target
-        self.life = incarnation_id(target.upstream)
-        self.at = now
+        self.incarnation = incarnation_id(target.upstream)
+        self.first_at = now
         # Ids of the requests by digest.
         self.requests: dict[str, str] = {}
         self.task: asyncio.Task | None = None
@@ -50,14 +50,14 @@
     def __init__(self, quarantine: interfaces.Quarantine) -> None:
         self.quarantine = quarantine
         # The newest break of each upstream.
-        self.breaks: dict[str, Break] = {}
+        self.suspected: dict[str, SuspectedCrash] = {}
 
     def connection_broke(
         self, target: targets.Target, digest: str, request: str
     ) -> None:
         """Take note that a connection broke with a request on it.
 
-        :param digest: names what the request asks for.
+        :param digest: names what the request wants_all for.
         :param request: its id.
         """
         if not digest or target.upstream.state != interfaces.UP:
@@ -65,15 +65,15 @@
             return
         now = clock.now()
         name = target.upstream.id
-        found = self.breaks.get(name)
+        found = self.suspected.get(name)
         if (
             found is None
-            or found.life != incarnation_id(target.upstream)
-            or now - found.at > GROUPING_S
+            or found.incarnation != incarnation_id(target.upstream)
+            or now - found.first_at > GROUPING_S
         ):
-            self._drop(name)
-            found = self.breaks[name] = Break(target, now)
-            found.task = asyncio.ensure_future(self._try(found))
+            self._discard(name)
+            found = self.suspected[name] = SuspectedCrash(target, now)
+            found.task = asyncio.ensure_future(self._probe(found))
         found.requests[digest] = request
 
     def incarnation_ended(self, target: targets.Target, left: bool) -> None:
@@ -81,34 +81,34 @@
 
         :param left: whether the upstream has said so itself.
         """
-        found = self.breaks.get(target.upstream.id)
+        found = self.suspected.get(target.upstream.id)
         if found is None or found.target is not target:
             return
-        if left or clock.now() - found.at > CONFIRM_TIMEOUT_S:
-            self._drop(target.upstream.id)
+        if left or clock.now() - found.first_at > CONFIRM_TIMEOUT_S:
+            self._discard(target.upstream.id)
         else:
             self._confirm(found, FOLLOWED)
 
-    async def _try(self, found: Break) -> None:
+    async def _probe(self, found: SuspectedCrash) -> None:
         """Find out whether an upstream still takes connections."""
         for pause_s in PROBE_DELAYS_S:
             await asyncio.sleep(pause_s)
-            if await _refuses(found.target):
+            if await _refuses_connection(found.target):
                 # What broke in the same moment is told by now.
                 self._confirm(found, REFUSED)
                 return
 
-    def _confirm(self, found: Break, how: str) -> None:
+    def _confirm(self, found: SuspectedCrash, how: str) -> None:
         target = found.target
-        if self.breaks.get(target.upstream.id) is not found:
+        if self.suspected.get(target.upstream.id) is not found:
             return
-        self._drop(target.upstream.id)
+        self._discard(target.upstream.id)
         self.quarantine.record_crash(
-            found.life, found.requests, target.has_served, how
+            found.incarnation, found.requests, target.has_served, how
         )
 
-    def _drop(self, name: str) -> None:
-        found = self.breaks.pop(name, None)
+    def _discard(self, name: str) -> None:
+        found = self.suspected.pop(name, None)
         if found is not None and found.task is not asyncio.current_task():
             found.task.cancel()
 
@@ -118,7 +118,7 @@
     return '%s/%d' % (upstream.id, upstream.incarnation)
 
 
-async def _refuses(target: targets.Target) -> bool:
+async def _refuses_connection(target: targets.Target) -> bool:
     """Tell whether an upstream refuses a new connection."""
     until = clock.now() + connections.CONNECT_TIMEOUT_S
     try:
--- a/carawaystair/quarantine/dissemination.py
+++ b/carawaystair/quarantine/dissemination.py
@@ -19,15 +19,15 @@
 # What is not acknowledged in this time is sent again, seconds.
 RETRY_S = 0.25
 # After so many failures in a row the pause grows.
-PATIENCE = 8
+MAX_FAST_RETRIES = 8
 BACKOFF_S = 2.0
 # Facts in one message, and the bytes that one takes at most.
-MOST_FACTS = 100
+MAX_FACTS = 100
 FACT_BYTES = 120
 # Bytes per second to one neighbour.
-RATE = 64 * 1024
+RATE_BYTES_PER_S = 64 * 1024
 # The overlay follows the members at most this often, seconds.
-SETTLE_S = 1.0
+MIN_UPDATE_INTERVAL_S = 1.0
 
 # Names a fact: a digest and the upstream that crashed.
 Key = tuple[str, str]
@@ -43,30 +43,32 @@
     def __init__(self, address: str, incarnation: int) -> None:
         self.address = address
         self.incarnation = incarnation
-        self.waiting: dict[Key, None] = {}
+        self.pending: dict[Key, None] = {}
         self.event = asyncio.Event()
         self.task: asyncio.Task | None = None
 
     def add(self, keys: typing.Iterable[Key]) -> None:
         """Let facts wait."""
-        self.waiting |= dict.fromkeys(keys)
+        self.pending |= dict.fromkeys(keys)
         self.event.set()
 
 
-class Source(typing.Protocol):
+class FactStore(typing.Protocol):
     """What knows facts and takes those of others."""
 
-    def known(self, keys: typing.Collection[Key]) -> list[crashing.Fact]:
+    def facts_for(self, keys: typing.Collection[Key]) -> list[crashing.Fact]:
         """Return facts that are still known."""
 
-    def all_known(self) -> list[crashing.Fact]:
+    def all_facts(self) -> list[crashing.Fact]:
         """Return all facts, those of refused requests first."""
 
-    def take(self, sender: str, facts: typing.Iterable[crashing.Fact]) -> None:
+    def receive(
+        self, sender: str, facts: typing.Iterable[crashing.Fact]
+    ) -> None:
         """Take facts that another process told."""
 
 
-class Spread(mode.Service):
+class Disseminator(mode.Service):
     """Passes facts on; one for each process.
 
     :param members: the members of the fleet.
@@ -78,7 +80,7 @@
         self,
         members,
         transport: interfaces.Transport,
-        source: Source,
+        source: FactStore,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
@@ -86,8 +88,8 @@
         self.transport = transport
         self.source = source
         self.feeds: dict[str, Feed] = {}
-        self.stale = asyncio.Event()
-        self.stale.set()
+        self.members_changed = asyncio.Event()
+        self.members_changed.set()
         transport.handle(messages.Tell, self._told)
         members.subscribe(self._changed)
 
@@ -96,25 +98,27 @@
         for host in list(self.feeds):
             self._drop(host)
 
-    def pass_on(self, keys: typing.Collection[Key], but: str = '') -> None:
+    def broadcast(
+        self, keys: typing.Collection[Key], exclude: str = ''
+    ) -> None:
         """Pass facts on to every neighbour.
 
-        :param but: address of the one that told them.
+        :param exclude: address of the one that told them.
         """
         for feed in self.feeds.values():
-            if feed.address != but:
+            if feed.address != exclude:
                 feed.add(keys)
 
     @mode.Service.task
-    async def _follow(self) -> None:
+    async def _track_members(self) -> None:
         """Let the overlay follow the members."""
         while not self.should_stop:
-            await self.stale.wait()
-            self.stale.clear()
-            self.align()
-            await asyncio.sleep(SETTLE_S)
+            await self.members_changed.wait()
+            self.members_changed.clear()
+            self.update_feeds()
+            await asyncio.sleep(MIN_UPDATE_INTERVAL_S)
 
-    def align(self) -> None:
+    def update_feeds(self) -> None:
         """Open and close feeds as the overlay has it now."""
         alive = {member.host: member for member in self.members.alive()}
         centres = {host: each.data_centre for host, each in alive.items()}
@@ -137,43 +141,45 @@
 
     async def _feed(self, feed: Feed) -> None:
         """Feed one neighbour."""
-        feed.add(_keys(self.source.all_known()))
-        asks = True
+        feed.add(_keys(self.source.all_facts()))
+        wants_all = True
         failures = 0
         while True:
             await feed.event.wait()
-            if not feed.waiting and not asks:
+            if not feed.pending and not wants_all:
                 feed.event.clear()
                 continue
-            sent = await self._send(feed, asks)
-            asks = asks and not sent
+            sent = await self._send(feed, wants_all)
+            wants_all = wants_all and not sent
             failures = 0 if sent else failures + 1
-            await asyncio.sleep(BACKOFF_S if failures > PATIENCE else 0)
+            await asyncio.sleep(
+                BACKOFF_S if failures > MAX_FAST_RETRIES else 0
+            )
 
-    async def _send(self, feed: Feed, asks: bool) -> bool:
+    async def _send(self, feed: Feed, wants_all: bool) -> bool:
         """Send what waits; tell whether it arrived."""
-        keys = list(itertools.islice(feed.waiting, MOST_FACTS))
+        keys = list(itertools.islice(feed.pending, MAX_FACTS))
         for key in keys:
-            del feed.waiting[key]
-        facts = tuple(self.source.known(keys))
-        if not facts and not asks:
+            del feed.pending[key]
+        facts = tuple(self.source.facts_for(keys))
+        if not facts and not wants_all:
             return True
         result = await self.transport.call(
-            feed.address, messages.Tell(facts, asks), RETRY_S
+            feed.address, messages.Tell(facts, wants_all), RETRY_S
         )
         if result.is_error():
             feed.add(keys)
             return False
-        self.source.take(feed.address, result.ok.facts)
-        await asyncio.sleep(len(facts) * FACT_BYTES / RATE)
+        self.source.receive(feed.address, result.ok.facts)
+        await asyncio.sleep(len(facts) * FACT_BYTES / RATE_BYTES_PER_S)
         return True
 
     async def _told(self, sender: str, tell: messages.Tell) -> messages.Told:
         """Take what another process tells."""
-        self.source.take(sender, tell.facts[:MOST_FACTS])
-        if not tell.asks:
+        self.source.receive(sender, tell.facts[:MAX_FACTS])
+        if not tell.wants_all:
             return messages.Told()
-        return messages.Told(tuple(self.source.all_known()[:MOST_FACTS]))
+        return messages.Told(tuple(self.source.all_facts()[:MAX_FACTS]))
 
     def _drop(self, host: str) -> None:
         feed = self.feeds.pop(host)
@@ -181,7 +187,7 @@
             feed.task.cancel()
 
     def _changed(self, _member: interfaces.Member, _alive: bool) -> None:
-        self.stale.set()
+        self.members_changed.set()
 
 
 def _keys(facts: typing.Iterable[crashing.Fact]) -> list[Key]:
--- a/carawaystair/quarantine/messages.py
+++ b/carawaystair/quarantine/messages.py
@@ -14,11 +14,11 @@
     """Facts that are new to the sender; answered by a Told.
 
     :param facts: the facts.
-    :param asks: whether the sender wants all that the other one knows.
+    :param wants_all: whether the sender wants all that the other one knows.
     """
 
     facts: tuple[crashing.Fact, ...]
-    asks: bool = False
+    wants_all: bool = False
 
 
 @wire.register(161)
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -18,20 +18,20 @@
 from carawaystair import settings
 
 # What is too old is looked for this often, seconds.
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 # A request that ended well here of late is cleared at the second crash that is
 # told of it; the first may be the only one.
-DOUBTED = 2
+CLEAR_AT_CRASHES = 2
 # A trial is over after so long, seconds.
 TRIAL_S = 10.0
 MS = 1000
-HERE = 'this host'
+THIS_HOST = 'this host'
 
 
 class Suspect(typing.NamedTuple):
     """One request, as an operator sees it.
 
-    :param digest: names what it asks for.
+    :param digest: names what it wants_all for.
     :param request: id of the attempt at the last crash.
     :param refused_s: seconds for which it is still refused; 0.0 when it is
         not.
@@ -71,7 +71,9 @@
         self.recorder = recorder
         # When this process last let a request run on trial.
         self.trials: dict[str, float] = {}
-        self.spread = dissemination.Spread(members, transport, self)
+        self.disseminator = dissemination.Disseminator(
+            members, transport, self
+        )
         # Requests that are refused now.
         self.refused: set[str] = set()
         self.counts: collections.Counter = collections.Counter()
@@ -79,13 +81,13 @@
     async def on_start(self) -> None:
         """Start to exchange what is known."""
         metrics.collect(self.samples)
-        await self.add_runtime_dependency(self.spread)
+        await self.add_runtime_dependency(self.disseminator)
 
     @mode.Service.task
     async def _sweep(self) -> None:
         """Forget what is too old."""
         while not self.should_stop:
-            await self.sleep(SWEEP_S)
+            await self.sleep(SWEEP_INTERVAL_S)
             for digest in self.suspects.forget(clock.now()):
                 self.trials.pop(digest, None)
             for digest in list(self.refused):
@@ -110,7 +112,9 @@
         now = clock.now()
         if not self.suspects.on_trial(digest):
             return True
-        if self.suspects.refuses(digest, now) or not self._tries(digest):
+        if self.suspects.refuses(digest, now) or not self._is_trial_host(
+            digest
+        ):
             return False
         if now - self.trials.get(digest, -TRIAL_S) < TRIAL_S:
             return False
@@ -122,7 +126,7 @@
         crashes = self.suspects.standing(digest, clock.now()).crashes
         return crashes < self.suspects.limit - 1
 
-    def _tries(self, digest: str) -> bool:
+    def _is_trial_host(self, digest: str) -> bool:
         """Tell whether trials of a request are up to this host."""
         nodes = [each for each in self.members.alive() if not each.control]
         ranked = rendezvous.rank(digest, nodes)
@@ -144,7 +148,7 @@
         """
         self.counts['crashes'] += 1
         facts = self.suspects.crashed(incarnation, requests, proven)
-        self._learn(facts, HERE)
+        self._add_facts(facts, THIS_HOST)
         for fact in facts:
             standing = self.standing(fact.digest)
             event = decisions.Suspected(
@@ -179,11 +183,11 @@
         self, facts: typing.Collection[crashing.Fact], why: str
     ) -> None:
         if facts:
-            self._learn(facts, HERE, why)
+            self._add_facts(facts, THIS_HOST, why)
 
     # What other processes tell
 
-    def known(
+    def facts_for(
         self, keys: typing.Collection[dissemination.Key]
     ) -> list[crashing.Fact]:
         """Return facts that are still known."""
@@ -196,16 +200,18 @@
             if (fact.digest, fact.life) in wanted
         ]
 
-    def all_known(self) -> list[crashing.Fact]:
+    def all_facts(self) -> list[crashing.Fact]:
         """Return all facts, those of refused requests first."""
         facts = self.suspects.all_facts(clock.now())
         return sorted(facts, key=lambda f: f.digest not in self.refused)
 
-    def take(self, sender: str, facts: typing.Iterable[crashing.Fact]) -> None:
+    def receive(
+        self, sender: str, facts: typing.Iterable[crashing.Fact]
+    ) -> None:
         """Take facts that another process told."""
-        self._learn(facts, sender)
+        self._add_facts(facts, sender)
 
-    def _learn(
+    def _add_facts(
         self, facts: typing.Iterable[crashing.Fact], sender: str, why: str = ''
     ) -> None:
         """Take facts in, and pass on what is news."""
@@ -216,17 +222,19 @@
         self.counts['doubled'] += len(facts) - len(news)
         if not news:
             return
-        but = '' if sender == HERE else sender
-        self.spread.pass_on([(f.digest, f.life) for f in news], but)
+        exclude = '' if sender == THIS_HOST else sender
+        self.disseminator.broadcast(
+            [(f.digest, f.life) for f in news], exclude
+        )
         for digest in dict.fromkeys(fact.digest for fact in news):
-            self._clear_if_sound(digest, now)
+            self._clear_if_succeeded(digest, now)
             self._check(digest, why or 'told by %s' % sender)
 
-    def _clear_if_sound(self, digest: str, now: float) -> None:
+    def _clear_if_succeeded(self, digest: str, now: float) -> None:
         """Clear a request that this process has seen to end well of late."""
         if not self.suspects.was_sound(digest, now):
             return
-        if self.suspects.standing(digest, now).crashes >= DOUBTED:
+        if self.suspects.standing(digest, now).crashes >= CLEAR_AT_CRASHES:
             facts = self.suspects.clearing(digest, now)
             self._clear(facts, 'it ended well here of late')
 
@@ -269,7 +277,7 @@
         yield metrics.Sample('quarantine_refused_total', counts['refused'])
         yield metrics.Sample('quarantine_released_total', counts['released'])
 
-    def listing(self) -> list[Suspect]:
+    def list_suspects(self) -> list[Suspect]:
         """Return what is known of each request, refused ones first."""
         found = [
             (digest, self.standing(digest)) for digest in self.suspects.crashes
@@ -293,7 +301,7 @@
 
         async def _list(_request: web.Request) -> web.Response:
             return localapi.json_response(
-                [suspect._asdict() for suspect in self.listing()]
+                [suspect._asdict() for suspect in self.list_suspects()]
             )
 
         async def _clear(request: web.Request) -> web.Response:
--- a/carawaystair/request/attempt.py
+++ b/carawaystair/request/attempt.py
@@ -178,7 +178,7 @@
 
     def release_connection(self, now: float) -> None:
         """Let the connection of an answer that was read whole go on."""
-        if self.pump is not None and not self.pump.done:
+        if self.pump is not None and not self.pump.finished:
             # The answer came before the body was taken: what is left of the
             # body must not be read as another request.
             self.pump.task.cancel()
@@ -219,7 +219,7 @@
             raise self._failure(codes.ANSWER_LOST, error) from None
 
     def _failure(self, code: codes.Code, error: object) -> answers.Failed:
-        refused = self.pump.refused if self.pump is not None else None
+        refused = self.pump.refusal if self.pump is not None else None
         if refused is not None:
             # The caller's own body was at fault, and we cut the connection.
             return answers.Failed(
--- a/carawaystair/request/ledger.py
+++ b/carawaystair/request/attempt_tracker.py
@@ -1,7 +1,7 @@
 """The life of an attempt: its start, its end, and what is kept of both.
 
 Every attempt that was started is ended exactly once, so that connections,
-slots and evidence add up whatever goes wrong.
+shared_permits and evidence add up whatever goes wrong.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 from carawaystair.request import headers
 from carawaystair.request import latencies
 from carawaystair.request import selection
-from carawaystair.request import silence
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
+from carawaystair.request import silent_connections
 from carawaystair.request import target as targets
 
 # A failure makes an upstream look as slow as this, at least: one that fails
 # fast must not draw work by its speed.
-PENALTY_S = 1.0
+FAILURE_LATENCY_S = 1.0
 # An upstream that was told a deadline is taken to have stopped so long
 # after it, whatever it says.
-FREE_AFTER_S = 0.5
+RELEASE_GRACE_S = 0.5
 # New work for an upstream that has begun to leave breaks a promise after
 # this time.
-DRAIN_S = 3.0
+DRAIN_GRACE_S = 3.0
 FAILURES = frozenset(
     (
         interfaces.ERROR,
@@ -43,7 +43,7 @@
 )
 
 
-class Ledger:
+class AttemptTracker:
     """The attempts of one node.
 
     :param selector: chooses upstreams.
@@ -62,11 +62,11 @@
         self.crash_detector = crash_detection.CrashDetector(quarantine)
         self.evidence = evidence
         self.budgets: dict[str, budgets.Budget] = {}
-        self.routes = latencies.Routes()
+        self.latencies = latencies.RouteLatencies()
         # What runs beside the requests: work that a stop waits for, and
         # attempts that are only watched.
         self.tasks: set[asyncio.Task] = set()
-        self.watches: set[asyncio.Task] = set()
+        self.cancellable_tasks: set[asyncio.Task] = set()
 
     # Starts
 
@@ -82,7 +82,7 @@
         target.in_flight += 1
         return attempt
 
-    async def put(self, attempt: attempts.Attempt) -> None:
+    async def dispatch(self, attempt: attempts.Attempt) -> None:
         """Send a request to its upstream; raises ``answers.Failed``."""
         await attempt.connect()
         attempt.send()
@@ -95,11 +95,11 @@
             call.match.key,
             attempt.fresh,
         )
-        since = self.selector.leaving.get(attempt.target.upstream.id)
+        since = self.selector.leaving_since.get(attempt.target.upstream.id)
         if since is not None:
             invariants.check(
                 invariants.NO_WORK_AFTER_DRAIN,
-                clock.now() - since <= DRAIN_S,
+                clock.now() - since <= DRAIN_GRACE_S,
                 attempt.target.upstream.id,
             )
 
@@ -109,8 +109,8 @@
         self, attempt: attempts.Attempt, answer: answers.Answer
     ) -> None:
         """Take note of an answer, and of its connection when it is whole."""
-        self.record(attempt, outcome_of(answer))
-        silence.answered(attempt)
+        self.record_outcome(attempt, outcome_of(answer))
+        silent_connections.resolve_suspicion(attempt)
         if answer.rest is None:
             self.finish(attempt)
 
@@ -127,14 +127,14 @@
         """End an attempt that brought no answer."""
         outcome = failed.outcome
         if outcome == interfaces.BROKEN and attempt.silent:
-            outcome = self._broken(attempt)
-        self.record(attempt, outcome)
-        silence.ended(attempt)
-        self.cut(attempt)
+            outcome = self._broken_outcome(attempt)
+        self.record_outcome(attempt, outcome)
+        silent_connections.clear_suspicion(attempt)
+        self.abort(attempt)
 
-    def _broken(self, attempt: attempts.Attempt) -> str:
+    def _broken_outcome(self, attempt: attempts.Attempt) -> str:
         """Tell what the end of a connection without a byte shows."""
-        if self.lost(attempt):
+        if self.is_connection_lost(attempt):
             return interfaces.SILENT
         idle_s = attempt.started - attempt.connection.last_used
         if attempt.reused and idle_s > connections.RECENT_USE_S:
@@ -143,66 +143,72 @@
             return interfaces.CANCELLED
         return interfaces.BROKEN
 
-    def cut(self, attempt: attempts.Attempt) -> None:
+    def abort(self, attempt: attempts.Attempt) -> None:
         """End an attempt that has answered but is not read to its end."""
         attempt.target.in_flight -= 1
         attempt.abort()
 
-    def late(
-        self, attempt: attempts.Attempt, slot: slots.Slot
+    def time_out(
+        self, attempt: attempts.Attempt, permit: shared_permits.SharedPermit
     ) -> answers.Failed:
         """End an attempt whose time is over, and return the failure."""
-        outcome = self.blame(attempt)
-        self.abandon(attempt, outcome, slot)
+        outcome = self.timeout_outcome(attempt)
+        self.cancel(attempt, outcome, permit)
         return answers.Failed(outcome, codes.ANSWER_LATE, attempt.sent)
 
-    def blame(self, attempt: attempts.Attempt) -> str:
+    def timeout_outcome(self, attempt: attempts.Attempt) -> str:
         """Tell whether an upstream or its connection kept silent."""
-        return interfaces.SILENT if self.lost(attempt) else interfaces.TIMEOUT
+        return (
+            interfaces.SILENT
+            if self.is_connection_lost(attempt)
+            else interfaces.TIMEOUT
+        )
 
-    def lost(self, attempt: attempts.Attempt) -> bool:
+    def is_connection_lost(self, attempt: attempts.Attempt) -> bool:
         """Tell whether an attempt's connection was found to be lost."""
         return (
             attempt.silent
             and attempt.connection.opened_at < attempt.target.lost_before
         )
 
-    def abandon(
+    def cancel(
         self,
         attempt: attempts.Attempt,
         outcome: str,
-        slot: slots.Slot | None = None,
+        permit: shared_permits.SharedPermit | None = None,
     ) -> None:
-        """Cancel an attempt, whose slot counts until it is known to be free.
+        """Cancel an attempt, whose permit counts until it is known to be free.
 
-        :param slot: the admission's slot that is given back then, too.
+        :param permit: the admission's permit that is given back then, too.
         """
-        self.record(attempt, outcome)
-        silence.ended(attempt)
+        self.record_outcome(attempt, outcome)
+        silent_connections.clear_suspicion(attempt)
         if not attempt.sent:
             attempt.target.in_flight -= 1
             attempt.abort()
             return
-        if slot is not None:
-            slot.hold()
+        if permit is not None:
+            permit.retain()
         if attempt.pump is not None:
             attempt.pump.task.cancel()
-        self.watch(self._let_go(attempt, slot))
+        self.spawn_cancellable(self._await_release(attempt, permit))
 
-    async def _let_go(
-        self, attempt: attempts.Attempt, slot: slots.Slot | None
+    async def _await_release(
+        self,
+        attempt: attempts.Attempt,
+        permit: shared_permits.SharedPermit | None,
     ) -> None:
-        until = max(attempt.call.deadline, clock.now()) + FREE_AFTER_S
+        until = max(attempt.call.deadline, clock.now()) + RELEASE_GRACE_S
         try:
             await connections.cancel(attempt.connection, until)
         finally:
             attempt.target.in_flight -= 1
-            if slot is not None:
-                slot.drop()
+            if permit is not None:
+                permit.release()
 
     # What is kept
 
-    def record(self, attempt: attempts.Attempt, outcome: str) -> None:
+    def record_outcome(self, attempt: attempts.Attempt, outcome: str) -> None:
         """Record what an attempt showed, once."""
         if attempt.recorded:
             return
@@ -216,14 +222,14 @@
         latency_s = now - attempt.started
         if outcome == interfaces.GOOD:
             target.observe(latency_s, now)
-            self.routes.of(call.match.key).add(latency_s)
+            self.latencies.of(call.match.key).add(latency_s)
         elif outcome in FAILURES:
-            target.observe(max(latency_s, PENALTY_S), now)
+            target.observe(max(latency_s, FAILURE_LATENCY_S), now)
         if outcome == interfaces.BROKEN:
             self.crash_detector.connection_broke(target, call.digest, call.id)
-        self.note(attempt, outcome, latency_s)
+        self.report_evidence(attempt, outcome, latency_s)
 
-    def note(
+    def report_evidence(
         self, attempt: attempts.Attempt, outcome: str, latency_s: float
     ) -> None:
         """Pass evidence on."""
@@ -240,11 +246,11 @@
             )
         )
 
-    def hedge_at(self, call: calls.Call) -> float:
+    def hedge_time(self, call: calls.Call) -> float:
         """Return when a hedge of a request goes out, monotonic time."""
         now = clock.now()
         left_s = call.deadline - now
-        wait_s = self.routes.of(call.match.key).hedge_s(left_s)
+        wait_s = self.latencies.of(call.match.key).hedge_s(left_s)
         return min(now + wait_s, call.deadline)
 
     def budget(self, service: str) -> budgets.Budget:
@@ -256,14 +262,14 @@
 
     def spawn(self, coroutine: typing.Coroutine) -> asyncio.Task:
         """Run something beside the requests, to its end."""
-        return _keep(coroutine, self.tasks)
+        return _track_task(coroutine, self.tasks)
 
-    def watch(self, coroutine: typing.Coroutine) -> asyncio.Task:
+    def spawn_cancellable(self, coroutine: typing.Coroutine) -> asyncio.Task:
         """Run something beside the requests that a stop may cancel."""
-        return _keep(coroutine, self.watches)
+        return _track_task(coroutine, self.cancellable_tasks)
 
 
-def _keep(
+def _track_task(
     coroutine: typing.Coroutine, tasks: set[asyncio.Task]
 ) -> asyncio.Task:
     task = asyncio.create_task(coroutine)
--- a/carawaystair/request/base_handler.py
+++ b/carawaystair/request/base_handler.py
@@ -129,7 +129,7 @@
             exchange.send_continue()
         content = request.content
         if call.key:
-            body = await self.keyed_bodies.hold(
+            body = await self.keyed_bodies.read(
                 content, length, limit, call.deadline
             )
             return call._replace(body=body)
@@ -144,7 +144,7 @@
                 body_prefix=first.data,
             )
         begun = await bodies.read_start(content, limit, call.deadline)
-        if begun.whole and len(begun.data) <= bodies.MAX_BUFFERED_BYTES:
+        if begun.complete and len(begun.data) <= bodies.MAX_BUFFERED_BYTES:
             return call._replace(body=begun.data)
         return call._replace(
             body=None, stream=content, length=None, body_prefix=begun.data
--- a/carawaystair/request/body.py
+++ b/carawaystair/request/body.py
@@ -17,7 +17,7 @@
 MAX_BUFFERED_BYTES = 64 * 1024
 # Of longer ones so much is read first, which tells them apart.
 PREFIX_BYTES = 16 * 1024
-# Bodies of keyed requests are held whole, because the key stands for what
+# Bodies of keyed requests are held complete, because the key stands for what
 # the body says; all of them together may take this much memory.
 MAX_KEYED_BYTES = 64 * 1024 * 1024
 # Methods that get no Content-Length: 0 when there is no body.
@@ -30,27 +30,27 @@
     """A body as far as it was read.
 
     :param data: its bytes.
-    :param whole: whether they are all.
+    :param complete: whether they are all.
     """
 
     data: bytes
-    whole: bool
+    complete: bool
 
 
 class KeyedBodies:
-    """Holds whole the bodies of keyed requests, in bounded memory."""
+    """Holds complete the bodies of keyed requests, in bounded memory."""
 
     def __init__(self) -> None:
         self.bytes = 0
 
-    async def hold(
+    async def read(
         self,
         content: streams.StreamReader,
         length: int | None,
         limit: int,
         deadline: float,
     ) -> bytes:
-        """Read a body whole; raises :class:`validation.Refused`.
+        """Read a body complete; raises :class:`validation.Refused`.
 
         :param length: its length, None when it comes in chunks.
         :param limit: bytes at most.
@@ -68,7 +68,7 @@
         self.bytes += len(body.data)
         return body.data
 
-    def drop(self, body: bytes) -> None:
+    def release(self, body: bytes) -> None:
         """Forget a body."""
         self.bytes -= len(body)
 
@@ -178,7 +178,7 @@
         self.writer = http.StreamWriter(proto, asyncio.get_running_loop())
         self.task: asyncio.Task | None = None
         # What went wrong on the caller's side, if anything did.
-        self.refused: validation.Refused | None = None
+        self.refusal: validation.Refused | None = None
 
     def framing(self) -> bytes:
         """Return the end of the head, which tells how long the body is."""
@@ -194,7 +194,7 @@
         """Pass the body on; on any fault the connection is cut.
 
         Cutting it is what keeps an upstream from taking half a body for a
-        whole one.
+        complete one.
         """
         limit = self.source.limit
         passed = len(self.source.prefix)
@@ -210,29 +210,29 @@
                 await self.send(chunk)
             await self.writer.write_eof()
         except validation.Refused as refused:
-            self.refused = refused
-            self.cut()
+            self.refusal = refused
+            self.abort()
         except BODY_ERRORS as error:
             if content.exception() is not None:
-                self.refused = validation.Refused(
+                self.refusal = validation.Refused(
                     codes.BODY_MALFORMED, str(error)
                 )
-            self.cut()
+            self.abort()
         except asyncio.CancelledError:
-            self.cut()
+            self.abort()
             raise
 
     async def send(self, data: bytes) -> None:
         """Pass some bytes on."""
         await self.writer.write(data)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the upstream's connection."""
         if self.proto.transport is not None:
             self.proto.transport.abort()
 
     @property
-    def done(self) -> bool:
-        """Tell whether the whole body was passed on."""
+    def finished(self) -> bool:
+        """Tell whether the complete body was passed on."""
         task = self.task
         return task is not None and task.done() and not task.cancelled()
--- a/carawaystair/request/budget.py
+++ b/carawaystair/request/budget.py
@@ -8,10 +8,10 @@
 
 # A bucket starts and ends with as many: a service that is seldom asked can
 # still retry, and one that has not retried for long can't burst.
-RESERVE = 10.0
+CAPACITY = 10.0
 # Hedges leave as many tokens for retries, which a failed request needs more
 # than a slow one needs its hedge.
-KEPT_FOR_RETRIES = 3.0
+RETRY_RESERVE = 3.0
 
 
 class Budget:
@@ -20,7 +20,7 @@
     __slots__ = ('firsts', 'refused', 'spent', 'tokens')
 
     def __init__(self) -> None:
-        self.tokens = RESERVE
+        self.tokens = CAPACITY
         # Counters for the metrics.
         self.firsts = 0
         self.spent = 0
@@ -32,7 +32,7 @@
         :param percent: extra attempts for a hundred first ones.
         """
         self.firsts += 1
-        self.tokens = min(self.tokens + percent / 100, RESERVE)
+        self.tokens = min(self.tokens + percent / 100, CAPACITY)
 
     def spend(self, kept: float = 0.0) -> bool:
         """Take a token for one more attempt.
--- a/carawaystair/request/connections.py
+++ b/carawaystair/request/connections.py
@@ -10,8 +10,8 @@
 import typing
 
 from carawaystair import interfaces
+from carawaystair.request import http_client
 from carawaystair.request import target as targets
-from carawaystair.request import wire
 
 # Opening a connection takes about a network round trip; a host that does not
 # answer by then is treated as down.
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        proto: wire.Wire,
+        proto: http_client.ClientProtocol,
         target: targets.Target,
         now: float,
     ) -> None:
@@ -65,7 +65,7 @@
     while idle and now - idle[-1].last_used <= max_idle_s:
         connection = idle.pop()
         if (
-            connection.proto.sound
+            connection.proto.reusable
             and connection.opened_at >= target.lost_before
         ):
             return connection
@@ -85,7 +85,7 @@
     """
     loop = asyncio.get_running_loop()
     ip, _colon, port = target.upstream.address.rpartition(':')
-    factory = functools.partial(wire.Wire, loop)
+    factory = functools.partial(http_client.ClientProtocol, loop)
     async with asyncio.timeout_at(min(until, loop.time() + patience_s)):
         _transport, proto = await loop.create_connection(
             factory, ip.strip('[]'), int(port)
@@ -100,8 +100,8 @@
     connection.last_used = now
     connection.uses += 1
     proto = connection.proto
-    proto.busy = False
-    keep = proto.sound and connection.opened_at >= target.lost_before
+    proto.awaiting_answer = False
+    keep = proto.reusable and connection.opened_at >= target.lost_before
     keep = keep and target.upstream.state == interfaces.UP
     if keep and len(target.idle_connections) < MAX_IDLE_CONNECTIONS:
         target.idle_connections.append(connection)
@@ -116,7 +116,7 @@
         for connection in target.idle_connections
         if now - connection.last_used < MAX_IDLE_S
         and connection.opened_at >= target.lost_before
-        and connection.proto.sound
+        and connection.proto.reusable
     ]
     for connection in set(target.idle_connections).difference(kept):
         connection.proto.abort()
--- a/carawaystair/request/handler.py
+++ b/carawaystair/request/handler.py
@@ -6,17 +6,17 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
+from carawaystair.request import attempt_tracker
 from carawaystair.request import base_handler
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
 from carawaystair.request import digests
 from carawaystair.request import exchange as exchanges
 from carawaystair.request import http_server
-from carawaystair.request import keyed as keyeds
-from carawaystair.request import ledger
+from carawaystair.request import idempotency
 from carawaystair.request import meters as meters_module
 from carawaystair.request import sender as senders
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
 from carawaystair.request import transfer
 from carawaystair.request import validation
 from carawaystair import routing as routings
@@ -53,8 +53,8 @@
         self.host = host
         self.admission = admission
         self.sender = sender
-        self.keyed = keyeds.Keyed(
-            reservations, self._send_keyed, sender.spawn, sender.cut
+        self.keyed = idempotency.KeyedRequests(
+            reservations, self._send_keyed, sender.spawn, sender.abort
         )
 
     async def _answer(
@@ -98,17 +98,19 @@
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
         """Answer a request without a key."""
-        slot = await self._admit(call)
+        permit = await self._admit(call)
         started = clock.now()
         try:
-            answer = await self.sender.send(call, slot)
-            await self._pass_on(call, answer, exchange, slot)
-            slot.show(ledger.outcome_of(answer), clock.now() - started)
+            answer = await self.sender.send(call, permit)
+            await self._pass_on(call, answer, exchange, permit)
+            permit.record_outcome(
+                attempt_tracker.outcome_of(answer), clock.now() - started
+            )
         except answers.Failed as failed:
-            slot.show(failed.outcome, clock.now() - started)
+            permit.record_outcome(failed.outcome, clock.now() - started)
             raise
         finally:
-            slot.drop()
+            permit.release()
 
     async def _keyed(
         self, call: calls.Call, exchange: exchanges.Exchange
@@ -117,23 +119,25 @@
         try:
             answer = await self.keyed.answer(call)
         finally:
-            self.keyed_bodies.drop(call.body)
+            self.keyed_bodies.release(call.body)
         await self._pass_on(call, answer, exchange, None)
 
     async def _send_keyed(self, call: calls.Call) -> answers.Answer:
-        slot = await self._admit(call)
+        permit = await self._admit(call)
         started = clock.now()
         try:
-            answer = await self.sender.send(call, slot)
-            slot.show(ledger.outcome_of(answer), clock.now() - started)
+            answer = await self.sender.send(call, permit)
+            permit.record_outcome(
+                attempt_tracker.outcome_of(answer), clock.now() - started
+            )
             return answer
         except answers.Failed as failed:
-            slot.show(failed.outcome, clock.now() - started)
+            permit.record_outcome(failed.outcome, clock.now() - started)
             raise
         finally:
-            slot.drop()
+            permit.release()
 
-    async def _admit(self, call: calls.Call) -> slots.Slot:
+    async def _admit(self, call: calls.Call) -> shared_permits.SharedPermit:
         """Wait until the request may start."""
         quarantine = self.sender.quarantine
         if not quarantine.may_begin(call.digest):
@@ -142,7 +146,7 @@
             call.service, call.charged, call.deadline, call.bulk
         )
         if permit is not None:
-            return slots.Slot(permit)
+            return shared_permits.SharedPermit(permit)
         result = await self.admission.admit(
             call.service, call.charged, call.deadline, call.bulk
         )
@@ -153,21 +157,23 @@
                 failure.detail,
                 self.admission.retry_after(call.service),
             )
-        return slots.Slot(result.ok, waited=True)
+        return shared_permits.SharedPermit(result.ok, waited=True)
 
     async def _pass_on(
         self,
         call: calls.Call,
         answer: answers.Answer,
         exchange: exchanges.Exchange,
-        slot: slots.Slot | None,
+        permit: shared_permits.SharedPermit | None,
     ) -> None:
         """Give the caller its answer."""
         if answer.rest is None:
             exchange.write_answer(answer, codes.OK)
             await exchange.wait_drained()
             return
-        passing = transfer.Transfer(self.sender, call, answer, exchange, slot)
+        passing = transfer.Transfer(
+            self.sender, call, answer, exchange, permit
+        )
         if not await passing.run():
             exchange.keep_alive = False
             self.meters.record_broken(call.id, 'The answer broke off.')
--- a/carawaystair/request/wire.py
+++ b/carawaystair/request/http_client.py
@@ -18,12 +18,12 @@
 MAX_LINE_BYTES = 16 * 1024
 MAX_HEADERS = 128
 # A body that nobody reads makes the connection stop at twice as much.
-READ_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 
 Head = tuple[http.RawResponseMessage, streams.StreamReader]
 
 
-class Wire(protocol.Protocol):
+class ClientProtocol(protocol.Protocol):
     """One connection to an upstream.
 
     :param loop: the event loop.
@@ -37,12 +37,12 @@
         # Why no more will come.
         self.error: BaseException | None = None
         # Whether a request is on its way.
-        self.busy = False
+        self.awaiting_answer = False
         # Whether the answer ends with the connection.
-        self.unframed = False
+        self.ends_with_close = False
         # Whether another request may follow.
-        self.lasting = True
-        self.ready: asyncio.Future | None = None
+        self.keep_alive = True
+        self.head_waiter: asyncio.Future | None = None
 
     # Requests
 
@@ -51,11 +51,11 @@
 
         :param bodiless: whether the answer has no body whatever it says.
         """
-        self.busy = True
+        self.awaiting_answer = True
         self._parser = http.HttpResponseParser(
             self,
             self.loop,
-            READ_BYTES,
+            READ_BUFFER_BYTES,
             payload_exception=aiohttp.ClientPayloadError,
             response_with_body=not bodiless,
             read_until_eof=True,
@@ -66,14 +66,14 @@
         )
 
     @property
-    def sound(self) -> bool:
+    def reusable(self) -> bool:
         """Tell whether the last answer was read to its exact end.
 
         Then, and only then, what comes next can only be the answer to what
         is sent next.
         """
         return (
-            self.lasting
+            self.keep_alive
             and not self.heads
             and self.error is None
             and self.payload.is_eof()
@@ -118,26 +118,26 @@
         A timer for every wait would cost more than the wait itself; this
         one is moved on when it rings too early.
         """
-        ready = self.ready = self.loop.create_future()
-        self._arm(until)
+        ready = self.head_waiter = self.loop.create_future()
+        self._set_timer(until)
         try:
             if not await ready:
                 raise TimeoutError
         finally:
-            if self.ready is ready:
-                self.ready = None
+            if self.head_waiter is ready:
+                self.head_waiter = None
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
-        if self.ready is None:
+        if self.head_waiter is None:
             return
-        if self.loop.time() < self.until:
-            self._arm(self.until)
+        if self.loop.time() < self.timer_until:
+            self._set_timer(self.timer_until)
         else:
             self._wake(False)
 
     def _wake(self, came: bool) -> None:
-        ready = self.ready
+        ready = self.head_waiter
         if ready is not None and not ready.done():
             ready.set_result(came)
 
@@ -145,7 +145,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of an answer."""
-        if not self.busy:
+        if not self.awaiting_answer:
             # Nobody asked: the next caller would read it as its own.
             self._fail(aiohttp.ClientConnectionError('bytes out of turn'))
             return
@@ -157,8 +157,8 @@
         for message, payload in messages:
             self.payload = payload
             if message.should_close:
-                self.lasting = False
-            self.unframed = not (
+                self.keep_alive = False
+            self.ends_with_close = not (
                 message.chunked or 'Content-Length' in message.headers
             )
             self.heads.append((message, payload))
@@ -174,7 +174,7 @@
         is, since what was lost with it is not known.
         """
         ended = exc is None and self.error is None
-        if ended and self.unframed and not self.payload.is_eof():
+        if ended and self.ends_with_close and not self.payload.is_eof():
             self.payload.feed_eof()
         super().connection_lost(exc)
         if self.timer is not None:
--- a/carawaystair/request/http_server.py
+++ b/carawaystair/request/http_server.py
@@ -22,10 +22,10 @@
 MAX_HEADERS = 100
 # A body that nobody reads makes the connection stop at twice as much.
 READ_BUFFER_BYTES = 64 * 1024
-# Requests that a caller may send ahead of their answers; reading stops there.
+# Requests that a caller may send pipelined of their answers; reading stops there.
 MAX_PIPELINED = 8
 # Answers that wait for those before them may take this much memory, bytes of
-# a connection; no further request runs ahead then.
+# a connection; no further request runs pipelined then.
 MAX_BUFFERED_BYTES = 256 * 1024
 # An idle connection is closed after so long, seconds.
 IDLE_TIMEOUT_S = 75.0
@@ -76,11 +76,11 @@
         'headers',
         'unsent',
         'keep_alive',
-        'made',
+        'stream_writer',
         'method',
         'raw_headers',
         'raw_path',
-        'turn',
+        'turn_waiter',
         'version',
     )
 
@@ -100,12 +100,12 @@
         self.content = content
         self.connection = connection
         self.arrived_at = arrived
-        self.made: http.StreamWriter | None = None
+        self.stream_writer: http.StreamWriter | None = None
         # Bytes of its answer that wait for the answers before it; None once
         # they may go out.
         self.unsent: list[bytes] | None = None
         # Set while somebody waits for that.
-        self.turn: asyncio.Future | None = None
+        self.turn_waiter: asyncio.Future | None = None
 
     def write(self, data: bytes) -> None:
         """Write to the caller, or keep it until the answers before this one
@@ -123,22 +123,22 @@
         held, self.unsent = self.unsent, None
         if held:
             self.connection.write(b''.join(held))
-        if self.turn is not None:
-            self.turn.set_result(None)
+        if self.turn_waiter is not None:
+            self.turn_waiter.set_result(None)
 
     async def wait_turn(self) -> None:
         """Wait until the answers before this one have gone out."""
         if self.unsent is not None:
-            self.turn = asyncio.get_running_loop().create_future()
-            await self.turn
+            self.turn_waiter = asyncio.get_running_loop().create_future()
+            await self.turn_waiter
 
     @property
     def writer(self) -> http.StreamWriter:
         """Return what writes a long answer."""
-        if self.made is None:
+        if self.stream_writer is None:
             connection = self.connection
-            self.made = http.StreamWriter(connection, connection.loop)
-        return self.made
+            self.stream_writer = http.StreamWriter(connection, connection.loop)
+        return self.stream_writer
 
 
 def set_user_timeout(
@@ -216,23 +216,25 @@
         self.closed_by_caller = False
         # Requests that were read and not begun, and when that was.
         self.queue: collections.deque = collections.deque()
-        # Whether one is being answered now, and those that run ahead of it.
+        # Whether one is being answered now, and those that run pipelined of it.
         self.answering = False
-        self.ahead: collections.deque[PipelinedRequest] = collections.deque()
+        self.pipelined: collections.deque[PipelinedRequest] = (
+            collections.deque()
+        )
         self.content = streams.EMPTY_PAYLOAD
         # Why no further request can be read.
         self.error: errors.Malformed | None = None
         # Set while the task waits for a request.
         self.waiter: asyncio.Future | None = None
-        self.begun = False
+        self.head_started = False
         self.task: asyncio.Task | None = None
 
-    # One task a connection, and one for each request that runs ahead
+    # One task a connection, and one for each request that runs pipelined
 
     async def serve(self) -> None:
         """Answer the requests of this connection, one after another."""
         try:
-            while self.ahead or await self._arrived():
+            while self.pipelined or await self._wait_request():
                 self.answering = True
                 if not await self._answer_next():
                     break
@@ -240,7 +242,7 @@
             else:
                 if self.error is not None:
                     self.refuse(self, self.error)
-            await self._linger()
+            await self._drain_body()
         except ConnectionError:
             # The caller has gone.
             pass
@@ -248,16 +250,16 @@
             if self.transport is not None:
                 self.transport.close()
             # What stands behind the last answer counts as not read.
-            for ahead in self.ahead:
-                ahead.task.cancel()
+            for pipelined in self.pipelined:
+                pipelined.task.cancel()
 
     async def _answer_next(self) -> bool:
         """Answer the first request; return whether another may follow."""
-        if self.ahead:
-            first = self.ahead[0]
+        if self.pipelined:
+            first = self.pipelined[0]
             first.request.release()
             keep_alive = await first.task
-            self.ahead.popleft()
+            self.pipelined.popleft()
             self._start_pipelined()
             return keep_alive
         # What came with the caller's close would run for nobody. The end of
@@ -265,14 +267,14 @@
         await asyncio.sleep(0)
         if not self.open:
             return False
-        request = self._next()
+        request = self._take_request()
         self._start_pipelined()
         return await self.handle(request)
 
-    def _next(self) -> Request:
+    def _take_request(self) -> Request:
         """Take the next request from the queue."""
         message, self.content, arrived = self.queue.popleft()
-        self._read_on()
+        self._resume_parser()
         return Request(message, self.content, self, arrived)
 
     def _start_pipelined(self) -> None:
@@ -283,36 +285,36 @@
         """
         if self.may_pipeline is None:
             return
-        while self.queue and len(self.ahead) < MAX_PIPELINED:
+        while self.queue and len(self.pipelined) < MAX_PIPELINED:
             message, content, arrived = self.queue[0]
             request = Request(message, content, self, arrived)
-            if not self.may_pipeline(request) or self._held_enough():
+            if not self.may_pipeline(request) or self._buffer_full():
                 return
             self.queue.popleft()
             request.unsent = []
-            task = self.loop.create_task(self._handle_ahead(request))
-            self.ahead.append(PipelinedRequest(request, task))
-            self._read_on()
+            task = self.loop.create_task(self._handle_pipelined(request))
+            self.pipelined.append(PipelinedRequest(request, task))
+            self._resume_parser()
 
-    async def _handle_ahead(self, request: Request) -> bool:
+    async def _handle_pipelined(self, request: Request) -> bool:
         # As above, a caller's close is seen a turn later than its requests.
         await asyncio.sleep(0)
         return self.open and await self.handle(request)
 
-    def _held_enough(self) -> bool:
+    def _buffer_full(self) -> bool:
         """Tell whether answers that wait take all the memory they may."""
         held = sum(
             len(data)
-            for ahead in self.ahead
-            for data in ahead.request.unsent or ()
+            for pipelined in self.pipelined
+            for data in pipelined.request.unsent or ()
         )
         return held >= MAX_BUFFERED_BYTES
 
-    async def _arrived(self) -> bool:
+    async def _wait_request(self) -> bool:
         """Wait for a request; tell whether there is one."""
         if not self.queue and self.error is None:
-            self.begun = False
-            self._arm(self.loop.time() + self.bounds.idle_s)
+            self.head_started = False
+            self._set_timer(self.loop.time() + self.bounds.idle_s)
             self.waiter = self.loop.create_future()
             try:
                 await self.waiter
@@ -320,7 +322,7 @@
                 self.waiter = None
         return bool(self.queue)
 
-    def _read_on(self) -> None:
+    def _resume_parser(self) -> None:
         """Let the parser go on when it stopped at too many requests."""
         self._parser.message_consumed()
         if self.queue:
@@ -331,7 +333,7 @@
         if self._buffer_paused and len(self.queue) < MAX_PIPELINED:
             self._resume_reading_for_buffer()
 
-    async def _linger(self) -> None:
+    async def _drain_body(self) -> None:
         """Read what is left of a body before closing.
 
         Closing with bytes unread makes the kernel reset the connection, and
@@ -350,7 +352,7 @@
     @property
     def idle(self) -> bool:
         """Tell whether no request is being read or answered."""
-        return self._waiting() and not self.begun
+        return self._awaiting_request() and not self.head_started
 
     def write(self, data: bytes) -> None:
         """Write to whoever sent the request.
@@ -385,8 +387,8 @@
             if len(self.queue) >= MAX_PIPELINED and not self._buffer_paused:
                 self._pause_reading_for_buffer()
         elif self.idle and data:
-            self.begun = True
-            self._arm(self.loop.time() + self.bounds.head_s)
+            self.head_started = True
+            self._set_timer(self.loop.time() + self.bounds.head_s)
 
     def _parse(self, data: bytes) -> list:
         """Return the requests that bytes bring.
@@ -410,7 +412,7 @@
             if messages and not messages[-1][1].is_eof():
                 # The error is in its body: it is no request, either.
                 messages.pop()
-            self._spoil(errors.Malformed(error))
+            self._reject_input(errors.Malformed(error))
         return messages
 
     def eof_received(self) -> None:
@@ -431,7 +433,7 @@
 
     # What goes wrong
 
-    def _spoil(self, error: errors.Malformed) -> None:
+    def _reject_input(self, error: errors.Malformed) -> None:
         """Read no more: what follows can't be told apart."""
         self.error = error
         self._end_bodies(errors.BodyError(str(error)))
@@ -444,20 +446,20 @@
             if not content.is_eof():
                 content.set_exception(error)
 
-    def _waiting(self) -> bool:
+    def _awaiting_request(self) -> bool:
         # The task stands at its wait for one more turn of the loop after a
         # request was read; closed in that turn, its caller hears nothing.
         return self.waiter is not None and not self.waiter.done()
 
     def _wake(self) -> None:
-        if self._waiting():
+        if self._awaiting_request():
             self.waiter.set_result(None)
 
     # Time
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
-        if self.loop.time() < self.until:
-            self._arm(self.until)
-        elif self._waiting() and self.transport is not None:
+        if self.loop.time() < self.timer_until:
+            self._set_timer(self.timer_until)
+        elif self._awaiting_request() and self.transport is not None:
             self.transport.close()
--- a/carawaystair/request/keyed.py
+++ b/carawaystair/request/idempotency.py
@@ -12,19 +12,19 @@
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
-from carawaystair.request import replay
+from carawaystair.request import stored_answer
 from carawaystair.request import validation
 
 Run = typing.Callable[[calls.Call], typing.Awaitable[answers.Answer]]
 
 
-class Keyed:
+class KeyedRequests:
     """Runs keyed requests.
 
     :param reservations: holds the keys.
     :param run: sends a request, with a slot of its own.
     :param spawn: runs something to its end even when the caller goes away.
-    :param cut: ends an attempt whose long answer nobody takes.
+    :param abort: ends an attempt whose long answer nobody takes.
     """
 
     def __init__(
@@ -32,12 +32,12 @@
         reservations: interfaces.Reservations,
         run: Run,
         spawn: typing.Callable[[typing.Coroutine], asyncio.Task],
-        cut: typing.Callable[[typing.Any], None],
+        abort: typing.Callable[[typing.Any], None],
     ) -> None:
         self.reservations = reservations
         self.run = run
         self.spawn = spawn
-        self.cut = cut
+        self.abort = abort
 
     async def answer(self, call: calls.Call) -> answers.Answer:
         """Return the answer to a keyed request, be it this run's or not.
@@ -49,7 +49,7 @@
             call.service,
             call.customer,
             call.key,
-            replay.digest(call),
+            stored_answer.request_digest(call),
             call.deadline,
         )
         if result.is_error():
@@ -57,24 +57,26 @@
             raise validation.Refused(failure.code, failure.detail)
         reserved = result.ok
         if not reserved.granted:
-            return stored(reserved)
+            return decode_reserved(reserved)
         # The caller may go away, and with it this task; what has been sent
         # runs all the same, and its outcome must be stored for the repeat.
-        task = self.spawn(self._granted(call, reserved.token))
+        task = self.spawn(self._run_granted(call, reserved.token))
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            task.add_done_callback(self._unwanted)
+            task.add_done_callback(self._discard_answer)
             raise
 
-    def _unwanted(self, task: asyncio.Task) -> None:
+    def _discard_answer(self, task: asyncio.Task) -> None:
         """End the long answer of a run whose caller has gone."""
         if task.cancelled() or task.exception() is not None:
             return
         if task.result().rest is not None:
-            self.cut(task.result().rest)
+            self.abort(task.result().rest)
 
-    async def _granted(self, call: calls.Call, token: str) -> answers.Answer:
+    async def _run_granted(
+        self, call: calls.Call, token: str
+    ) -> answers.Answer:
         try:
             answer = await self.run(call)
         except validation.Refused:
@@ -87,13 +89,13 @@
         # The caller need not wait until the replicas have it.
         self.spawn(
             self.reservations.settle(
-                token, replay.encode(answer), answer.status
+                token, stored_answer.encode(answer), answer.status
             )
         )
         return answer
 
 
-def stored(reserved: interfaces.Reserved) -> answers.Answer:
+def decode_reserved(reserved: interfaces.Reserved) -> answers.Answer:
     """Return the stored answer of an earlier run.
 
     :raises answers.Failed: when there is none, or none yet.
@@ -102,7 +104,7 @@
         raise answers.Failed(interfaces.CANCELLED, codes.KEY_ANSWER_GONE, True)
     if reserved.answer is None:
         raise answers.Failed(interfaces.CANCELLED, codes.KEY_RUNNING, True)
-    answer = replay.decode(reserved.answer)
+    answer = stored_answer.decode(reserved.answer)
     if isinstance(answer, codes.Code):
         raise answers.Failed(interfaces.CANCELLED, answer, True)
     return answer
--- a/carawaystair/request/latencies.py
+++ b/carawaystair/request/latencies.py
@@ -11,18 +11,18 @@
 import math
 
 BUCKETS_PER_OCTAVE = 4
-LEAST_S = 0.0005
+MIN_LATENCY_S = 0.0005
 OCTAVES = 18
 BUCKETS = BUCKETS_PER_OCTAVE * OCTAVES
-HALVE_AT = 1024
+MAX_SAMPLES = 1024
 # The estimate is taken anew after so many answers.
-REFRESH = 32
+REFRESH_INTERVAL = 32
 # Fewer answers than this say nothing about the tail.
-ENOUGH = 20
-HEDGE_SHARE = 0.95
+MIN_SAMPLES = 20
+HEDGE_QUANTILE = 0.95
 # While too little is known, a hedge goes out after this share of the time
 # that the request has.
-UNKNOWN_SHARE = 0.25
+UNKNOWN_HEDGE_FRACTION = 0.25
 MIN_HEDGE_S = 0.002
 MAX_ROUTES = 4096
 
@@ -40,12 +40,12 @@
 
     def add(self, latency_s: float) -> None:
         """Count one good answer."""
-        octaves = math.log2(max(latency_s, LEAST_S) / LEAST_S)
+        octaves = math.log2(max(latency_s, MIN_LATENCY_S) / MIN_LATENCY_S)
         index = min(int(octaves * BUCKETS_PER_OCTAVE), BUCKETS - 1)
         self.counts[index] += 1
         self.total += 1
         self.pending += 1
-        if self.pending >= REFRESH or self.total == ENOUGH:
+        if self.pending >= REFRESH_INTERVAL or self.total == MIN_SAMPLES:
             self._refresh()
 
     def hedge_s(self, left_s: float) -> float:
@@ -53,23 +53,23 @@
 
         :param left_s: the time that the request has.
         """
-        if self.total < ENOUGH:
-            return left_s * UNKNOWN_SHARE
+        if self.total < MIN_SAMPLES:
+            return left_s * UNKNOWN_HEDGE_FRACTION
         return self.estimate
 
     def _refresh(self) -> None:
         self.pending = 0
-        if self.total >= HALVE_AT:
+        if self.total >= MAX_SAMPLES:
             self.counts = [count // 2 for count in self.counts]
             self.total = sum(self.counts)
-        wanted = self.total * HEDGE_SHARE
+        wanted = self.total * HEDGE_QUANTILE
         sums = itertools.accumulate(self.counts)
         index = next(i for i, count in enumerate(sums) if count >= wanted)
-        upper = LEAST_S * 2 ** ((index + 1) / BUCKETS_PER_OCTAVE)
+        upper = MIN_LATENCY_S * 2 ** ((index + 1) / BUCKETS_PER_OCTAVE)
         self.estimate = max(upper, MIN_HEDGE_S)
 
 
-class Routes:
+class RouteLatencies:
     """The latencies of the routes in use, the least used forgotten."""
 
     def __init__(self) -> None:
--- a/carawaystair/request/meters.py
+++ b/carawaystair/request/meters.py
@@ -13,7 +13,7 @@
 EVENTS_PER_S = 10
 # Latencies are counted by steps of 10 us until somebody asks for them.
 TICKS_PER_S = 100_000
-MOST_RECENT = 4096
+MAX_PENDING = 4096
 
 
 class Meters:
@@ -24,56 +24,56 @@
 
     def __init__(self, timeline: timelines.Timeline) -> None:
         self.timeline = timeline
-        self.told: collections.Counter = collections.Counter()
+        self.outcomes: collections.Counter = collections.Counter()
         self.latency = metrics.latency()
         self.completed = 0
         # Latencies that are not in the histogram yet, which takes them
         # several at a time: one at a time would cost a tenth of a request.
-        self.recent: collections.Counter = collections.Counter()
+        self.pending: collections.Counter = collections.Counter()
         self.second = 0
         self.events = 0
-        self.unsaid = 0
+        self.dropped_events = 0
 
     def record_complete(self, latency_s: float) -> None:
         """Count a request that was answered whole."""
         self.completed += 1
-        self.recent[int(latency_s * TICKS_PER_S)] += 1
-        if len(self.recent) > MOST_RECENT:
-            self._fold()
+        self.pending[int(latency_s * TICKS_PER_S)] += 1
+        if len(self.pending) > MAX_PENDING:
+            self._flush()
 
     def record_failed(
         self, outcome: str, code: codes.Code, request: str, detail: str
     ) -> None:
         """Count a request that was refused or failed."""
-        self.told[outcome, code.label] += 1
+        self.outcomes[outcome, code.label] += 1
         second = int(clock.now())
         if second != self.second:
             self.second = second
             self.events = 0
         self.events += 1
         if self.events > EVENTS_PER_S:
-            self.unsaid += 1
+            self.dropped_events += 1
             return
         text = '%s %s %s' % (code.label, code.name, detail)
         self.timeline.record('request-' + outcome, text, request=request)
 
     def record_broken(self, request: str, text: str) -> None:
         """Count an answer that was broken in the middle."""
-        self.told['cut', codes.ANSWER_LOST.label] += 1
+        self.outcomes['cut', codes.ANSWER_LOST.label] += 1
         self.timeline.record('answer-cut', text, request=request)
 
-    def _fold(self) -> None:
+    def _flush(self) -> None:
         """Move the recent latencies into the histogram."""
-        for ticks, count in self.recent.items():
+        for ticks, count in self.pending.items():
             micros = int((ticks + 0.5) * 1e6 / TICKS_PER_S)
             self.latency.record_value(micros, count)
-        self.recent.clear()
+        self.pending.clear()
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
         """Yield the samples of the metrics."""
-        self._fold()
-        self.told[codes.COMPLETE, codes.OK.label] = self.completed
-        for (outcome, code), count in self.told.items():
+        self._flush()
+        self.outcomes[codes.COMPLETE, codes.OK.label] = self.completed
+        for (outcome, code), count in self.outcomes.items():
             labels = (('outcome', outcome), ('code', code))
             yield metrics.Sample('requests_total', count, labels)
         yield from metrics.summary('request_seconds', self.latency)
--- a/carawaystair/request/protocol.py
+++ b/carawaystair/request/protocol.py
@@ -18,7 +18,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, parser=None) -> None:
         super().__init__(loop, parser)
         self.loop = loop
-        self.until = 0.0
+        self.timer_until = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     @property
@@ -35,18 +35,18 @@
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
-    def _arm(self, until: float) -> None:
-        """Let :meth:`_ring` be called at a time of the loop's clock, or
+    def _set_timer(self, until: float) -> None:
+        """Let :meth:`_on_timer` be called at a time of the loop's clock, or
         before.
         """
-        self.until = until
+        self.timer_until = until
         timer = self.timer
         if timer is not None:
             if timer.when() <= until:
                 return
             timer.cancel()
-        self.timer = self.loop.call_at(until, self._ring)
+        self.timer = self.loop.call_at(until, self._on_timer)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         """Take note that the time has come, or will."""
         raise NotImplementedError
--- a/carawaystair/request/selection.py
+++ b/carawaystair/request/selection.py
@@ -10,7 +10,7 @@
 from carawaystair import rendezvous
 from carawaystair.request import call as calls
 from carawaystair.request import connections
-from carawaystair.request import shares
+from carawaystair.request import locality
 from carawaystair.request import target as targets
 from carawaystair import routing as routings
 
@@ -32,23 +32,23 @@
 
     :param routing: the configuration, compared by identity.
     :param ejected: the ids that were ejected.
-    :param until: monotonic time up to which the shares hold.
+    :param valid_until: monotonic time up to which the shares hold.
     :param candidates: the upstreams in use.
-    :param others: usable upstreams beyond the subset, the first to step in
+    :param reserve: usable upstreams beyond the subset, the first to step in
         at the front.
     """
 
     routing: routings.Routing
     ejected: frozenset[str]
-    until: float
+    valid_until: float
     candidates: targets.Candidates
-    others: typing.Sequence[targets.Target]
+    reserve: typing.Sequence[targets.Target]
 
 
 class Selector:
     """Chooses upstreams for the requests of this node.
 
-    :param place: where this node stands.
+    :param location: where this node stands.
     :param directory: the upstreams.
     :param health: which of them are ejected.
     :param routing: returns the configuration.
@@ -57,38 +57,38 @@
 
     def __init__(
         self,
-        place: Location,
+        location: Location,
         directory: interfaces.Directory,
         health: interfaces.Health,
         routing: typing.Callable[[], routings.Routing],
         factories: dict[str, typing.Callable],
     ) -> None:
-        self.place = place
+        self.location = location
         self.directory = directory
         self.health = health
         self.routing = routing
         self.factories = factories
         self.targets: dict[str, targets.Target] = {}
-        self.chosen: dict[str, CachedCandidates] = {}
+        self.cached: dict[str, CachedCandidates] = {}
         self.balancers: dict[tuple[str, str], targets.Balancer] = {}
         # When each upstream that leaves was seen to; a second record beside
         # the targets, for the invariant.
-        self.leaving: dict[str, float] = {}
-        directory.subscribe(self.changed)
+        self.leaving_since: dict[str, float] = {}
+        directory.subscribe(self.on_change)
 
     # Keeping up
 
-    def changed(self, upstream: interfaces.Upstream) -> None:
+    def on_change(self, upstream: interfaces.Upstream) -> None:
         """Take note of an upstream that changed."""
-        self.chosen.pop(upstream.service, None)
+        self.cached.pop(upstream.service, None)
         target = self.targets.get(upstream.id)
         if target is not None and targets.is_outdated(target, upstream):
             return
         now = clock.now()
         if upstream.state == interfaces.UP:
-            self.leaving.pop(upstream.id, None)
+            self.leaving_since.pop(upstream.id, None)
         else:
-            self.leaving.setdefault(upstream.id, now)
+            self.leaving_since.setdefault(upstream.id, now)
         if target is not None:
             self._update(target, upstream, now)
 
@@ -100,33 +100,33 @@
         if started or old.address != new.address:
             # The process behind the open connections is gone, and what was
             # seen of it, late answers too, says nothing of the next one.
-            self._let_go(target, now)
+            self._discard(target, now)
             if new.state != interfaces.GONE:
                 self.targets[new.id] = targets.Target(new, now)
             return
         target.upstream = new
         if new.state != interfaces.UP:
-            # An upstream that is leaving may wait for its connections to
+            # An upstream that is leaving_since may wait for its connections to
             # end before it stops.
             connections.close_idle(target)
         if new.state == interfaces.GONE:
             self.targets.pop(new.id, None)
 
-    def _let_go(self, target: targets.Target, now: float) -> None:
+    def _discard(self, target: targets.Target, now: float) -> None:
         """End a target: its connections in use are not kept either."""
         connections.close_idle(target)
         target.lost_before = now
         target.upstream = target.upstream._replace(state=interfaces.GONE)
         self.targets.pop(target.upstream.id, None)
 
-    def sweep(self, now: float) -> None:
+    def close_stale(self, now: float) -> None:
         """Close what has been idle too long, forget what left long ago."""
         for target in self.targets.values():
             if target.idle_connections:
                 connections.close_stale(target, now)
-        old = [key for key, t in self.leaving.items() if now - t > 60.0]
+        old = [key for key, t in self.leaving_since.items() if now - t > 60.0]
         for key in old:
-            del self.leaving[key]
+            del self.leaving_since[key]
 
     # Choosing
 
@@ -141,10 +141,12 @@
         """
         now = clock.now()
         service = call.match.route.service
-        chosen = self.candidates(service, now)
-        candidates = chosen.candidates
+        cached = self.candidates(service, now)
+        candidates = cached.candidates
         if tried:
-            candidates = shares.without(candidates, chosen.others, tried)
+            candidates = locality.exclude_tried(
+                candidates, cached.reserve, tried
+            )
         if not candidates.targets:
             return None
         balancer = self.balancer(service, call.match.service.balancer)
@@ -154,18 +156,18 @@
         """Return the candidates of a service."""
         routing = self.routing()
         ejected = self.health.ejected(service)
-        chosen = self.chosen.get(service)
+        cached = self.cached.get(service)
         if (
-            chosen is None
-            or chosen.routing is not routing
-            or chosen.ejected != ejected
-            or chosen.until < now
+            cached is None
+            or cached.routing is not routing
+            or cached.ejected != ejected
+            or cached.valid_until < now
         ):
-            chosen = self._candidates(service, routing, ejected, now)
-            self.chosen[service] = chosen
-        return chosen
+            cached = self._compute_candidates(service, routing, ejected, now)
+            self.cached[service] = cached
+        return cached
 
-    def _candidates(
+    def _compute_candidates(
         self,
         service: str,
         routing: routings.Routing,
@@ -181,25 +183,29 @@
             and not routing.drained(upstream.host, upstream.data_centre)
         ]
         usable.sort(key=self._rank)
-        region = routing.region(self.place.region)
-        here = {self.place.data_centre}.union(
+        region = routing.region(self.location.region)
+        here = {self.location.data_centre}.union(
             region.data_centres if region else ()
         )
-        part = shares.near_part(
+        fraction = locality.local_fraction(
             self.directory.upstreams(service), usable, here
         )
-        used = shares.split(usable, here)
-        made = shares.candidates(used, part, self.place.data_centre, now)
+        subset = locality.split_by_region(usable, here)
+        made = locality.weighted_candidates(
+            subset, fraction, self.location.data_centre, now
+        )
         warming = any(
             target.warmup_share(now) < 1.0 for target in made.targets
         )
-        until = now + WARMUP_REFRESH_S if warming else math.inf
-        return CachedCandidates(routing, ejected, until, made, used.others)
+        valid_until = now + WARMUP_REFRESH_S if warming else math.inf
+        return CachedCandidates(
+            routing, ejected, valid_until, made, subset.reserve
+        )
 
     def _rank(self, target: targets.Target) -> tuple[int, str]:
         """Order upstreams for this node; other nodes have another order."""
         upstream = target.upstream
-        weight = -rendezvous.score(self.place.host, upstream.id)
+        weight = -rendezvous.score(self.location.host, upstream.id)
         return weight, upstream.id
 
     def target(
@@ -215,7 +221,7 @@
             target = self.targets.get(upstream.id, target)
         return target
 
-    def named(self, service: str, name: str) -> targets.Target | None:
+    def find_up(self, service: str, name: str) -> targets.Target | None:
         """Return an upstream by its id, ejected or not, if it is up."""
         found = (
             self.target(upstream, clock.now())
@@ -231,7 +237,7 @@
             factory = (
                 self.factories.get(name) or self.factories[DEFAULT_BALANCER]
             )
-            seed = '%s %s' % (self.place.host, service)
+            seed = '%s %s' % (self.location.host, service)
             balancer = factory(random.Random(seed), self.health)
             self.balancers[service, name] = balancer
         return balancer
--- a/carawaystair/request/sender.py
+++ b/carawaystair/request/sender.py
@@ -9,20 +9,20 @@
 from carawaystair import metrics
 from carawaystair.request import answer as answers
 from carawaystair.request import attempt as attempts
+from carawaystair.request import attempt_tracker
 from carawaystair.request import budget as budgets
 from carawaystair.request import call as calls
 from carawaystair.request import connections
-from carawaystair.request import ledger
 from carawaystair.request import race as races
 from carawaystair.request import selection
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
 from carawaystair.request import target as targets
 
 # Attempts of one request at most, be they retries or hedges.
 MAX_ATTEMPTS = 3
 
 
-class Sender(ledger.Ledger):
+class Sender(attempt_tracker.AttemptTracker):
     """Sends requests; one for each node.
 
     :param selector: chooses upstreams.
@@ -41,10 +41,12 @@
         super().__init__(selector, evidence, quarantine)
         self.health = health
 
-    async def send(self, call: calls.Call, slot: slots.Slot) -> answers.Answer:
+    async def send(
+        self, call: calls.Call, permit: shared_permits.SharedPermit
+    ) -> answers.Answer:
         """Return the answer to a request.
 
-        :param slot: the admission's slot that the request holds.
+        :param permit: the admission's permit that the request holds.
         :raises answers.Failed: when there is none.
         """
         budget = self.budget(call.service)
@@ -55,22 +57,22 @@
                 interfaces.CANCELLED, codes.NO_UPSTREAM, False
             )
         if not call.idempotent or call.body is None:
-            return await self._once(call, target, slot, budget)
-        trial = self._trial(call, target, budget)
+            return await self._send_once(call, target, permit, budget)
+        trial = self._trial_target(call, target, budget)
         if trial is None:
-            return await self._first(call, target, slot, budget)
-        race = races.Race(self, call, slot, budget)
+            return await self._send_with_hedge(call, target, permit, budget)
+        race = races.Race(self, call, permit, budget)
         race.launch(target)
         race.launch(trial, fresh=True)
         return await race.run()
 
     # Ways to send
 
-    async def _once(
+    async def _send_once(
         self,
         call: calls.Call,
         target: targets.Target | None,
-        slot: slots.Slot,
+        permit: shared_permits.SharedPermit,
         budget: budgets.Budget,
     ) -> answers.Answer:
         """Send what may not run twice.
@@ -83,7 +85,7 @@
             attempt = self.start(call, target)
             tried.append(target.upstream.id)
             try:
-                answer = await self._whole(attempt, slot)
+                answer = await self._attempt_to_deadline(attempt, permit)
                 if not answers.is_refusal(answer):
                     return answer
                 failed = answers.Failed(
@@ -98,30 +100,30 @@
             if target is None or not budget.spend():
                 raise failed
 
-    async def _whole(
-        self, attempt: attempts.Attempt, slot: slots.Slot
+    async def _attempt_to_deadline(
+        self, attempt: attempts.Attempt, permit: shared_permits.SharedPermit
     ) -> answers.Answer:
         """Make one attempt with all the time that the request has."""
         try:
-            await self.put(attempt)
+            await self.dispatch(attempt)
             answer = await attempt.answer(attempt.call.deadline)
         except TimeoutError:
-            raise self.late(attempt, slot) from None
+            raise self.time_out(attempt, permit) from None
         except answers.Failed as failed:
             self.fail(attempt, failed)
             raise
         except BaseException:
             # The caller has gone, as a rule.
-            self.abandon(attempt, interfaces.CANCELLED, slot)
+            self.cancel(attempt, interfaces.CANCELLED, permit)
             raise
         self.complete(attempt, answer)
         return answer
 
-    async def _first(
+    async def _send_with_hedge(
         self,
         call: calls.Call,
         target: targets.Target,
-        slot: slots.Slot,
+        permit: shared_permits.SharedPermit,
         budget: budgets.Budget,
     ) -> answers.Answer:
         """Send a request that may run twice.
@@ -131,41 +133,41 @@
         """
         attempt = self.start(call, target)
         try:
-            await self.put(attempt)
-            answer = await attempt.answer(self.hedge_at(call))
+            await self.dispatch(attempt)
+            answer = await attempt.answer(self.hedge_time(call))
         except TimeoutError:
-            race = races.Race(self, call, slot, budget, target)
-            race.overdue(attempt)
+            race = races.Race(self, call, permit, budget, target)
+            race.add_late(attempt)
         except answers.Failed as failed:
             self.fail(attempt, failed)
-            race = races.Race(self, call, slot, budget, target)
-            race.lost(failed)
+            race = races.Race(self, call, permit, budget, target)
+            race.record_failure(failed)
         except BaseException:
-            self.abandon(attempt, interfaces.CANCELLED, slot)
+            self.cancel(attempt, interfaces.CANCELLED, permit)
             raise
         else:
             self.complete(attempt, answer)
             if answer.status < 500 or answer.rest is not None:
                 return answer
-            race = races.Race(self, call, slot, budget, target)
-            race.spoilt(answer)
+            race = races.Race(self, call, permit, budget, target)
+            race.record_error(answer)
         return await race.run()
 
-    def _trial(
+    def _trial_target(
         self,
         call: calls.Call,
         target: targets.Target,
         budget: budgets.Budget,
     ) -> targets.Target | None:
         """Return an upstream that wants a copy of this request."""
-        if call.bulk or budget.tokens < 1.0 + budgets.KEPT_FOR_RETRIES:
+        if call.bulk or budget.tokens < 1.0 + budgets.RETRY_RESERVE:
             return None
         if not self.quarantine.may_retry(call.digest):
             return None
         name = self.health.trial(call.service)
         if name is None or name == target.upstream.id:
             return None
-        wanted = self.selector.named(call.service, name)
+        wanted = self.selector.find_up(call.service, name)
         return wanted if wanted is not None and budget.spend() else None
 
     async def stop(self, until: float) -> None:
@@ -176,7 +178,7 @@
         if self.tasks:
             left_s = max(until - clock.now(), 0.0)
             await asyncio.wait(self.tasks, timeout=left_s)
-        left = self.tasks | self.watches
+        left = self.tasks | self.cancellable_tasks
         for task in left:
             task.cancel()
         await asyncio.gather(*left, return_exceptions=True)
--- a/carawaystair/request/service.py
+++ b/carawaystair/request/service.py
@@ -55,12 +55,12 @@
         """Listen for callers."""
         parts = self.parts
         settings = self.kernel.settings
-        place = selection.Location(
+        location = selection.Location(
             settings.host, settings.data_centre, settings.region
         )
         balancers = self.kernel.registry.collect('balancers')
         self.selector = selection.Selector(
-            place, parts.directory, parts.health, parts.routing, balancers
+            location, parts.directory, parts.health, parts.routing, balancers
         )
         self.sender = senders.Sender(
             self.selector, parts.health, parts.evidence, parts.quarantine
@@ -107,4 +107,4 @@
         """Close connections to upstreams that have been idle too long."""
         while not self.should_stop:
             await self.sleep(connections.SWEEP_INTERVAL_S)
-            self.selector.sweep(clock.now())
+            self.selector.close_stale(clock.now())
--- a/carawaystair/request/slot.py
+++ b/carawaystair/request/shared_permit.py
@@ -3,12 +3,12 @@
 from carawaystair import interfaces
 
 
-class Slot:
+class SharedPermit:
     """A permit that is released when nobody holds it any more.
 
     The request holds it, and so does every cancelled attempt until its
     upstream is known to have stopped: giving the slot back earlier would
-    let more run than the upstreams have slots.
+    let more run than the upstreams have shared_permits.
 
     :param permit: the permit.
     :param waited: whether the request had to wait for it, so that there is
@@ -26,16 +26,16 @@
         self.outcome = interfaces.CANCELLED
         self.latency_s = 0.0
 
-    def show(self, outcome: str, latency_s: float) -> None:
+    def record_outcome(self, outcome: str, latency_s: float) -> None:
         """Take note of what the request showed."""
         self.outcome = outcome
         self.latency_s = latency_s
 
-    def hold(self) -> None:
+    def retain(self) -> None:
         """Add a holder."""
         self.holders += 1
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """Remove a holder; the last one gives the permit back."""
         self.holders -= 1
         if self.holders == 0:
--- a/carawaystair/request/replay.py
+++ b/carawaystair/request/stored_answer.py
@@ -52,7 +52,7 @@
     return answers.Answer(*stored)
 
 
-def digest(call: calls.Call) -> bytes:
+def request_digest(call: calls.Call) -> bytes:
     """Return what tells a request from another with the same key."""
     hashed = hashlib.blake2b(digest_size=16)
     path = call.path.encode('utf-8', 'surrogateescape')
--- a/carawaystair/request/transfer.py
+++ b/carawaystair/request/transfer.py
@@ -22,13 +22,13 @@
 from carawaystair.request import call as calls
 from carawaystair.request import exchange as exchanges
 from carawaystair.request import headers
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
 
 # An upstream that sends nothing for so long in the middle of an answer has
 # broken off, if another one can go on; seconds.
-STALL_S = 2.0
+RESUMABLE_STALL_S = 2.0
 # If none can, it gets this long.
-LONG_STALL_S = 30.0
+STALL_TIMEOUT_S = 30.0
 MAX_RESUMES = 5
 # A resume waits so long for the retry budget, in seconds, and asks so often.
 BUDGET_WAIT_S = 2.0
@@ -42,7 +42,7 @@
 )
 
 
-class Span(typing.NamedTuple):
+class ByteRange(typing.NamedTuple):
     """The bytes of a representation that an answer carries.
 
     :param start: the first one.
@@ -55,11 +55,11 @@
     tag: bytes
 
 
-class Spoilt(Exception):
+class TransferError(Exception):
     """The caller takes no bytes, or would get wrong ones."""
 
 
-def span(call: calls.Call, answer: answers.Answer) -> Span:
+def byte_range(call: calls.Call, answer: answers.Answer) -> ByteRange:
     """Return which bytes an answer carries."""
     tag = headers.value(answer.headers, b'etag') or b''
     plain = call.method == 'GET' and call.idempotent
@@ -68,13 +68,13 @@
     length = headers.value(answer.headers, b'content-length')
     end = None if length is None else int(length)
     if answer.status == 200:
-        return Span(0, end, tag)
+        return ByteRange(0, end, tag)
     part = CONTENT_RANGE.fullmatch(
         headers.value(answer.headers, b'content-range') or b''
     )
     if answer.status != 206 or part is None:
-        return Span(0, end, b'')
-    return Span(int(part[1]), int(part[2]) + 1, tag)
+        return ByteRange(0, end, b'')
+    return ByteRange(int(part[1]), int(part[2]) + 1, tag)
 
 
 class Transfer:
@@ -84,7 +84,7 @@
     :param call: the request.
     :param answer: the beginning of the answer.
     :param exchange: the caller's side.
-    :param slot: the admission's slot of the request, if it has one.
+    :param permit: the admission's permit of the request, if it has one.
     """
 
     def __init__(
@@ -93,16 +93,16 @@
         call: calls.Call,
         answer: answers.Answer,
         exchange: exchanges.Exchange,
-        slot: slots.Slot | None,
+        permit: shared_permits.SharedPermit | None,
     ) -> None:
         self.sender = sender
         self.call = call
         self.answer = answer
         self.exchange = exchange
-        self.slot = slot
-        self.span = span(call, answer)
+        self.permit = permit
+        self.range = byte_range(call, answer)
         self.attempt: attempts.Attempt | None = answer.rest
-        self.passed = 0
+        self.bytes_passed = 0
         self.tried: list[str] = []
 
     async def run(self) -> bool:
@@ -117,32 +117,32 @@
                 self.answer, None if length is None else int(length)
             )
             await self._write(self.answer.body)
-            await self._pass_on()
+            await self._stream()
             return True
         except BROKEN:
             self.exchange.abort()
             return False
-        except Spoilt:
+        except TransferError:
             self.exchange.abort()
             return False
         finally:
             # The caller has gone, or stalls: the upstream may stop.
             if self.attempt is not None:
-                self.sender.abandon(
-                    self.attempt, interfaces.CANCELLED, self.slot
+                self.sender.cancel(
+                    self.attempt, interfaces.CANCELLED, self.permit
                 )
 
-    async def _pass_on(self) -> None:
+    async def _stream(self) -> None:
         while True:
             try:
                 await self._read()
             except BROKEN as error:
-                self._broke(error)
+                self._record_broken(error)
                 if not await self._resume():
                     raise
             else:
                 break
-        if self.span.end is not None and self._next < self.span.end:
+        if self.range.end is not None and self._next_byte < self.range.end:
             raise ConnectionError('fewer bytes than were announced')
         if self.attempt is not None:
             self.sender.finish(self.attempt)
@@ -155,31 +155,31 @@
         if self.attempt is None:
             return
         payload = self.attempt.payload
-        stall_s = STALL_S if self.span.tag else LONG_STALL_S
+        stall_s = RESUMABLE_STALL_S if self.range.tag else STALL_TIMEOUT_S
         while not payload.at_eof():
             async with asyncio.timeout(stall_s):
                 chunk = await payload.readany()
             await self._write(chunk)
 
     async def _write(self, chunk: bytes) -> None:
-        self.passed += len(chunk)
-        if self.span.end is not None and self._next > self.span.end:
-            raise Spoilt('more bytes than were announced')
+        self.bytes_passed += len(chunk)
+        if self.range.end is not None and self._next_byte > self.range.end:
+            raise TransferError('more bytes than were announced')
         try:
             await self.exchange.request.writer.write(chunk, drain=False)
             await self.exchange.wait_drained()
         except ConnectionError as error:
-            raise Spoilt(str(error)) from error
+            raise TransferError(str(error)) from error
 
     # Resuming
 
-    def _broke(self, error: BaseException) -> None:
+    def _record_broken(self, error: BaseException) -> None:
         """Take note that the upstream broke off."""
         attempt, self.attempt = self.attempt, None
         stalled = isinstance(error, TimeoutError)
         outcome = interfaces.TIMEOUT if stalled else interfaces.BROKEN
         now = clock.now()
-        self.sender.note(attempt, outcome, now - attempt.started)
+        self.sender.report_evidence(attempt, outcome, now - attempt.started)
         attempt.target.observe(1.0, now)
         if not stalled:
             call = self.call
@@ -187,17 +187,17 @@
                 attempt.target, call.digest, call.id
             )
         self.tried.append(attempt.target.upstream.id)
-        self.sender.cut(attempt)
+        self.sender.abort(attempt)
 
     async def _resume(self) -> bool:
         """Get the rest from another upstream; tell whether it comes."""
-        if not self.span.tag:
+        if not self.range.tag:
             return False
         while len(self.tried) <= MAX_RESUMES:
             target = self._target()
-            if target is None or not await self._may_resume():
+            if target is None or not await self._wait_budget():
                 return False
-            if await self._ask(target):
+            if await self._request_rest(target):
                 return True
             self.tried.append(target.upstream.id)
         return False
@@ -207,7 +207,7 @@
         target = selector.choose(self.call, self.tried)
         return target or selector.choose(self.call)
 
-    async def _may_resume(self) -> bool:
+    async def _wait_budget(self) -> bool:
         """Wait for the retry budget of the service."""
         if not self.sender.quarantine.may_retry(self.call.digest):
             return False
@@ -219,58 +219,58 @@
             await asyncio.sleep(BUDGET_POLL_S)
         return True
 
-    async def _ask(self, target) -> bool:
+    async def _request_rest(self, target) -> bool:
         """Ask one upstream for the rest; tell whether it sends it."""
         timeout_s = self.call.match.service.timeout_ms / 1000
         call = self.call._replace(
             head=without_conditions(self.call.head),
             deadline=clock.now() + timeout_s,
         )
-        end = '' if self.span.end is None else self.span.end - 1
-        extra = 'Range: bytes=%d-%s\r\nIf-Range: ' % (self._next, end)
+        end = '' if self.range.end is None else self.range.end - 1
+        extra = 'Range: bytes=%d-%s\r\nIf-Range: ' % (self._next_byte, end)
         attempt = self.sender.start(
-            call, target, extra.encode() + self.span.tag + b'\r\n'
+            call, target, extra.encode() + self.range.tag + b'\r\n'
         )
         try:
-            await self.sender.put(attempt)
-            answer = await attempt.answer(clock.now() + STALL_S)
+            await self.sender.dispatch(attempt)
+            answer = await attempt.answer(clock.now() + RESUMABLE_STALL_S)
         except TimeoutError:
-            self.sender.abandon(attempt, interfaces.TIMEOUT)
+            self.sender.cancel(attempt, interfaces.TIMEOUT)
             return False
         except answers.Failed as failed:
             self.sender.fail(attempt, failed)
             return False
         except BaseException:
-            self.sender.abandon(attempt, interfaces.CANCELLED, self.slot)
+            self.sender.cancel(attempt, interfaces.CANCELLED, self.permit)
             raise
         self.sender.complete(attempt, answer)
-        if not self._fits(call, answer):
+        if not self._continues(call, answer):
             if answer.rest is not None:
-                self.sender.cut(attempt)
+                self.sender.abort(attempt)
             return False
         self.attempt = answer.rest
         await self._write(answer.body)
         return True
 
     @property
-    def _next(self) -> int:
+    def _next_byte(self) -> int:
         """Return the first byte that the caller lacks."""
-        return self.span.start + self.passed
+        return self.range.start + self.bytes_passed
 
-    def _fits(self, call: calls.Call, answer: answers.Answer) -> bool:
+    def _continues(self, call: calls.Call, answer: answers.Answer) -> bool:
         """Tell whether an answer is the very rest that the caller lacks."""
         if answer.status != 206:
             return False
-        rest = span(call, answer)
-        if rest.tag != self.span.tag or rest.start != self._next:
+        rest = byte_range(call, answer)
+        if rest.tag != self.range.tag or rest.start != self._next_byte:
             return False
-        if self.span.end is None:
+        if self.range.end is None:
             part = headers.value(answer.headers, b'content-range')
             total = int(CONTENT_RANGE.fullmatch(part)[3])
-            self.span = self.span._replace(end=total)
+            self.range = self.range._replace(end=total)
         encoding = headers.value(answer.headers, b'content-encoding')
         first = headers.value(self.answer.headers, b'content-encoding')
-        return rest.end == self.span.end and encoding == first
+        return rest.end == self.range.end and encoding == first
 
 
 def without_conditions(head: bytes) -> bytes:
--- a/test/test_gateway_crashing.py
+++ b/test/test_gateway_crashing.py
@@ -196,7 +196,7 @@
                 await asyncio.sleep(1.0)
                 loop.reset(fleet.nodes[number % 4].upstream.port)
             await sound
-            return [node.quarantine.listing() for node in fleet.nodes]
+            return [node.quarantine.list_suspects() for node in fleet.nodes]
 
     assert pipes.run(scenario()) == [[]] * 4
 
@@ -211,7 +211,7 @@
             upstream.crash()
             await asking
             await asyncio.sleep(1.0)
-            return fleet.nodes[0].quarantine.listing()
+            return fleet.nodes[0].quarantine.list_suspects()
 
     assert pipes.run(scenario()) == []
 
@@ -231,7 +231,7 @@
             with contextlib.suppress(asyncio.IncompleteReadError):
                 await fleet.ask('/read/long')
             await asyncio.sleep(1.0)
-            return fleet.nodes[0].quarantine.listing()
+            return fleet.nodes[0].quarantine.list_suspects()
 
     (suspect,) = pipes.run(scenario())
     assert suspect.upstreams == ('u9001/1',)
@@ -249,11 +249,11 @@
             node.upstream.crash()
             await node.upstream.start()
             await asyncio.sleep(1.0)
-            before = fleet.nodes[0].quarantine.listing()
+            before = fleet.nodes[0].quarantine.list_suspects()
             node.announce()
             await asking
             await asyncio.sleep(1.0)
-            return before, fleet.nodes[0].quarantine.listing()
+            return before, fleet.nodes[0].quarantine.list_suspects()
 
     before, after = pipes.run(scenario())
     assert before == []
@@ -271,7 +271,7 @@
             took_s = clock.now() - began
             node = fleet.nodes[0]
             (told,) = node.story(answer.headers['caraway-request-id'])
-            return answer, took_s, told, node.quarantine.listing()
+            return answer, took_s, told, node.quarantine.list_suspects()
 
     answer, took_s, told, (suspect,) = pipes.run(scenario())
     assert (answer.status, answer.outcome) == (503, codes.NOT_RUN)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -276,7 +276,7 @@
         return {
             frozenset(
                 (known.digest, known.life, known.cleared)
-                for known in process.all_known()
+                for known in process.all_facts()
             )
             for process in fleet.processes.values()
         }
--- a/test/test_request_crashing.py
+++ b/test/test_request_crashing.py
@@ -89,7 +89,7 @@
                 await asyncio.sleep(0.5)
             await known.stop()
             reached = sum('crash' in seen.line for seen in setup.runs)
-            return told, sound, reached, known.listing()
+            return told, sound, reached, known.list_suspects()
 
     told, sound, reached, (suspect,) = pipes.run(scenario())
     assert reached <= LIMIT + 1
--- a/test/test_request_lifetimes.py
+++ b/test/test_request_lifetimes.py
@@ -90,8 +90,8 @@
             former = stands._replace(
                 incarnation=5, host='h0', state=interfaces.GONE
             )
-            selector.changed(former)
+            selector.on_change(former)
             kept = selector.targets.get(upstream.name) is target
-            return kept, target.upstream.state, dict(selector.leaving)
+            return kept, target.upstream.state, dict(selector.leaving_since)
 
     assert pipes.run(scenario()) == (True, interfaces.UP, {})
--- a/test/test_request_random.py
+++ b/test/test_request_random.py
@@ -163,6 +163,6 @@
     assert all(t.in_flight == t.lingering == 0 for t in targets)
     assert all(not t.late_attempts and t.suspected is None for t in targets)
     assert setup.admission.held == setup.path.handler.keyed_bodies.bytes == 0
-    assert not setup.sender.tasks and not setup.sender.watches
+    assert not setup.sender.tasks and not setup.sender.cancellable_tasks
     complete = [a for _k, _m, a in world.told if a and a.outcome == 'complete']
     assert len(complete) > len(world.told) * 0.5
