--- a/carawaystair/quarantine/__init__.py
+++ b/carawaystair/quarantine/__init__.py
@@ -1,8 +1,9 @@
-"""Requests that crash upstreams, known to all processes of the fleet.
+"""Quarantine of requests that crash upstreams, shared by the whole fleet.
 
-A gateway that sees its upstream crash tells the others which requests that
-was running.  What that means is decided in ``load.crashing``; here is how it
-spreads, how it is told in logs and metrics, and how an operator sees it.
+A node that sees an upstream of its host crash reports the requests that
+were running there to all other processes.  The rules for when a request is
+refused are in ``load.crashing``; this package detects crashes, distributes
+the facts, writes logs and metrics, and serves the operators' API.
 """
 
 from carawaystair.quarantine import service
@@ -11,7 +12,7 @@
 def make(kernel, members) -> service.Quarantine:
     """Return the quarantine of one process.
 
-    :param kernel: the process, whose links are used.
+    :param kernel: the process; its links carry the facts.
     :param members: the members of the fleet.
     """
     return service.Quarantine(
--- a/carawaystair/quarantine/crash_detection.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -1,8 +1,8 @@
-"""Tells crashes of upstreams from broken connections.
+"""Distinguishes crashes of upstreams from broken connections.
 
-A connection that suspected under a request may have been reset on its way, or by
-an upstream that goes on working.  A crash also refuses the next connection, or
-is followed by another start of the upstream.
+A connection that breaks during a request may have been reset on the network,
+or by an upstream that continues to work.  After a crash, the upstream also
+refuses new connections, or a new incarnation of it starts soon.
 """
 
 import asyncio
@@ -12,56 +12,56 @@
 from carawaystair.request import connections
 from carawaystair.request import target as targets
 
-# Runs that break within this time of each other belong to one crash, seconds.
+# Connections that break within this time of the first belong to one crash.
 GROUPING_S = 0.5
-# A new connection is tried so long after the first one broke, seconds: its
-# process may take a moment to end.
+# Pauses before each probe for a crash, which opens a new connection: a
+# crashing process may take a moment to end.
 PROBE_DELAYS_S = (0.0, 0.3)
-# Without a refused connection, another start of the upstream within this time
-# shows the crash as well, seconds; it takes the lease of the former one.
+# If no probe is refused, the end of the incarnation within this time still
+# confirms the crash.  A new incarnation takes over the upstream's lease.
 CONFIRM_TIMEOUT_S = 8.0
 
 REFUSED = 'it refuses connections'
-FOLLOWED = 'it started anew or fell silent'
+FOLLOWED = 'it restarted or its heartbeats stopped'
 
 
 class SuspectedCrash:
-    """Runs of one life of an upstream that broke together.
+    """Connections to one incarnation of an upstream that broke together.
 
     :param target: the upstream.
-    :param now: monotonic time of the first one.
+    :param now: monotonic time at which the first one broke.
     """
 
     def __init__(self, target: targets.Target, now: float) -> None:
         self.target = target
         self.incarnation = incarnation_id(target.upstream)
         self.first_at = now
-        # Ids of the requests by digest.
+        # Ids of the requests in progress, by digest.
         self.requests: dict[str, str] = {}
         self.task: asyncio.Task | None = None
 
 
 class CrashDetector:
-    """Watches the runs that break; one for each process.
+    """Detects crashes from broken connections; one for each process.
 
-    :param quarantine: is told of crashes.
+    :param quarantine: records the crashes.
     """
 
     def __init__(self, quarantine: interfaces.Quarantine) -> None:
         self.quarantine = quarantine
-        # The newest break of each upstream.
+        # The latest suspected crash of each upstream, by its id.
         self.suspected: dict[str, SuspectedCrash] = {}
 
     def connection_broke(
         self, target: targets.Target, digest: str, request: str
     ) -> None:
-        """Take note that a connection broke with a request on it.
+        """Handle a connection that broke while it carried a request.
 
-        :param digest: names what the request wants_all for.
+        :param digest: digest of the request.
         :param request: its id.
         """
         if not digest or target.upstream.state != interfaces.UP:
-            # One that leaves ends whatever it is asked.
+            # A leaving upstream ends its connections whatever it runs.
             return
         now = clock.now()
         name = target.upstream.id
@@ -77,9 +77,9 @@
         found.requests[digest] = request
 
     def incarnation_ended(self, target: targets.Target, left: bool) -> None:
-        """Take note that a life is over.
+        """Handle the end of an incarnation of an upstream.
 
-        :param left: whether the upstream has said so itself.
+        :param left: whether the upstream announced that it is leaving.
         """
         found = self.suspected.get(target.upstream.id)
         if found is None or found.target is not target:
@@ -90,11 +90,12 @@
             self._confirm(found, FOLLOWED)
 
     async def _probe(self, found: SuspectedCrash) -> None:
-        """Find out whether an upstream still takes connections."""
+        """Confirm the crash if the upstream refuses new connections."""
         for pause_s in PROBE_DELAYS_S:
             await asyncio.sleep(pause_s)
             if await _refuses_connection(found.target):
-                # What broke in the same moment is told by now.
+                # All connections that broke at the same moment have been
+                # recorded by now.
                 self._confirm(found, REFUSED)
                 return
 
@@ -114,7 +115,7 @@
 
 
 def incarnation_id(upstream: interfaces.Upstream) -> str:
-    """Return what names an upstream and its start in the whole fleet."""
+    """Return the fleet-wide id of an upstream's incarnation."""
     return '%s/%d' % (upstream.id, upstream.incarnation)
 
 
@@ -126,7 +127,7 @@
     except ConnectionRefusedError:
         return True
     except OSError:
-        # TimeoutError is one, too: it neither takes nor refuses.
+        # Includes TimeoutError, which proves nothing either way.
         return False
     connection.proto.close()
     return False
--- a/carawaystair/quarantine/dissemination.py
+++ b/carawaystair/quarantine/dissemination.py
@@ -1,8 +1,8 @@
-"""Passes facts about crashes on to the neighbours in the overlay.
+"""Distributes facts about crashes to the neighbours in the overlay.
 
-One task feeds each neighbour.  It begins with an exchange of all that either
-end knows, so that a process that starts or was cut off catches up, and then
-sends what is new until that is acknowledged.
+One task serves each neighbour.  It starts with an exchange of all facts that
+either side knows, so that a process that has just started or was partitioned
+catches up, and then sends new facts until they are acknowledged.
 """
 
 import asyncio
@@ -16,28 +16,28 @@
 from carawaystair.membership import ring
 from carawaystair.quarantine import messages
 
-# What is not acknowledged in this time is sent again, seconds.
+# Facts that are not acknowledged within this time are sent again.
 RETRY_S = 0.25
-# After so many failures in a row the pause grows.
+# After more consecutive failures than this, retries pause for BACKOFF_S.
 MAX_FAST_RETRIES = 8
 BACKOFF_S = 2.0
-# Facts in one message, and the bytes that one takes at most.
+# Facts in one message, and the largest encoded size of one.
 MAX_FACTS = 100
 FACT_BYTES = 120
-# Bytes per second to one neighbour.
+# Rate limit for the facts sent to one neighbour.
 RATE_BYTES_PER_S = 64 * 1024
-# The overlay follows the members at most this often, seconds.
+# Time between two adaptations of the feeds to changed members, at least.
 MIN_UPDATE_INTERVAL_S = 1.0
 
-# Names a fact: a digest and the upstream that crashed.
+# Identifies a fact: digest of the request, incarnation that crashed.
 Key = tuple[str, str]
 
 
 class Feed:
-    """What waits for one neighbour.
+    """The facts to be sent to one neighbour.
 
-    :param address: where it takes messages.
-    :param incarnation: of its process.
+    :param address: address for messages to the neighbour.
+    :param incarnation: incarnation of its process.
     """
 
     def __init__(self, address: str, incarnation: int) -> None:
@@ -48,16 +48,16 @@
         self.task: asyncio.Task | None = None
 
     def add(self, keys: typing.Iterable[Key]) -> None:
-        """Let facts wait."""
+        """Queue facts for sending."""
         self.pending |= dict.fromkeys(keys)
         self.event.set()
 
 
 class FactStore(typing.Protocol):
-    """What knows facts and takes those of others."""
+    """Holds the facts that this process knows."""
 
     def facts_for(self, keys: typing.Collection[Key]) -> list[crashing.Fact]:
-        """Return facts that are still known."""
+        """Return those of the facts that are still known."""
 
     def all_facts(self) -> list[crashing.Fact]:
         """Return all facts, those of refused requests first."""
@@ -65,15 +65,15 @@
     def receive(
         self, sender: str, facts: typing.Iterable[crashing.Fact]
     ) -> None:
-        """Take facts that another process told."""
+        """Add facts received from another process."""
 
 
 class Disseminator(mode.Service):
-    """Passes facts on; one for each process.
+    """Sends facts to the neighbours; one for each process.
 
     :param members: the members of the fleet.
-    :param transport: the messages of this process.
-    :param source: knows the facts.
+    :param transport: sends and receives messages.
+    :param source: holds the facts.
     """
 
     def __init__(
@@ -90,20 +90,20 @@
         self.feeds: dict[str, Feed] = {}
         self.members_changed = asyncio.Event()
         self.members_changed.set()
-        transport.handle(messages.Tell, self._told)
-        members.subscribe(self._changed)
+        transport.handle(messages.Tell, self._handle_tell)
+        members.subscribe(self._on_member_change)
 
     async def on_stop(self) -> None:
-        """End the feeds."""
+        """Stop all feeds."""
         for host in list(self.feeds):
             self._drop(host)
 
     def broadcast(
         self, keys: typing.Collection[Key], exclude: str = ''
     ) -> None:
-        """Pass facts on to every neighbour.
+        """Send facts to every neighbour.
 
-        :param exclude: address of the one that told them.
+        :param exclude: address of the neighbour that they came from.
         """
         for feed in self.feeds.values():
             if feed.address != exclude:
@@ -111,7 +111,7 @@
 
     @mode.Service.task
     async def _track_members(self) -> None:
-        """Let the overlay follow the members."""
+        """Update the feeds after the members changed."""
         while not self.should_stop:
             await self.members_changed.wait()
             self.members_changed.clear()
@@ -119,10 +119,10 @@
             await asyncio.sleep(MIN_UPDATE_INTERVAL_S)
 
     def update_feeds(self) -> None:
-        """Open and close feeds as the overlay has it now."""
+        """Open and close feeds to match the neighbours in the overlay."""
         alive = {member.host: member for member in self.members.alive()}
-        centres = {host: each.data_centre for host, each in alive.items()}
-        wanted = ring.neighbours(self.members.me.host, centres)
+        data_centres = {host: each.data_centre for host, each in alive.items()}
+        wanted = ring.neighbours(self.members.me.host, data_centres)
         for host in self.feeds.keys() - set(wanted):
             self._drop(host)
         for host in wanted:
@@ -140,7 +140,7 @@
         return feed
 
     async def _feed(self, feed: Feed) -> None:
-        """Feed one neighbour."""
+        """Send facts to one neighbour until cancelled."""
         feed.add(_keys(self.source.all_facts()))
         wants_all = True
         failures = 0
@@ -157,7 +157,7 @@
             )
 
     async def _send(self, feed: Feed, wants_all: bool) -> bool:
-        """Send what waits; tell whether it arrived."""
+        """Send pending facts; return whether they were acknowledged."""
         keys = list(itertools.islice(feed.pending, MAX_FACTS))
         for key in keys:
             del feed.pending[key]
@@ -174,8 +174,10 @@
         await asyncio.sleep(len(facts) * FACT_BYTES / RATE_BYTES_PER_S)
         return True
 
-    async def _told(self, sender: str, tell: messages.Tell) -> messages.Told:
-        """Take what another process tells."""
+    async def _handle_tell(
+        self, sender: str, tell: messages.Tell
+    ) -> messages.Told:
+        """Handle a message from a neighbour."""
         self.source.receive(sender, tell.facts[:MAX_FACTS])
         if not tell.wants_all:
             return messages.Told()
@@ -186,7 +188,9 @@
         if feed.task is not None:
             feed.task.cancel()
 
-    def _changed(self, _member: interfaces.Member, _alive: bool) -> None:
+    def _on_member_change(
+        self, _member: interfaces.Member, _alive: bool
+    ) -> None:
         self.members_changed.set()
 
 
--- a/carawaystair/quarantine/messages.py
+++ b/carawaystair/quarantine/messages.py
@@ -11,10 +11,11 @@
 
 @wire.register(160)
 class Tell(typing.NamedTuple):
-    """Facts that are new to the sender; answered by a Told.
+    """Facts that the sender has just learnt; answered by :class:`Told`.
 
     :param facts: the facts.
-    :param wants_all: whether the sender wants all that the other one knows.
+    :param wants_all: whether the answer is to carry all facts that the
+        receiver knows.
     """
 
     facts: tuple[crashing.Fact, ...]
@@ -23,9 +24,9 @@
 
 @wire.register(161)
 class Told(typing.NamedTuple):
-    """The answer to a Tell: its facts arrived.
+    """Acknowledges the facts of a :class:`Tell`.
 
-    :param facts: what was asked for.
+    :param facts: all facts that the sender knows, if they were asked for.
     """
 
     facts: tuple[crashing.Fact, ...] = ()
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -1,4 +1,4 @@
-"""What one process knows of requests that crash upstreams."""
+"""The quarantine of one process: facts, decisions, metrics and local API."""
 
 import collections
 import typing
@@ -17,27 +17,28 @@
 from carawaystair import rendezvous
 from carawaystair import settings
 
-# What is too old is looked for this often, seconds.
+# Interval at which expired facts are removed.
 SWEEP_INTERVAL_S = 1.0
-# A request that ended well here of late is cleared at the second crash that is
-# told of it; the first may be the only one.
+# A request that succeeded here recently is cleared only once this many
+# crashes are known: a single crash may remain the only one.
 CLEAR_AT_CRASHES = 2
-# A trial is over after so long, seconds.
+# After this time another trial of a request may start.
 TRIAL_S = 10.0
 MS = 1000
 THIS_HOST = 'this host'
 
 
 class Suspect(typing.NamedTuple):
-    """One request, as an operator sees it.
+    """One suspected request, as shown to operators.
 
-    :param digest: names what it wants_all for.
+    :param digest: digest of the request.
     :param request: id of the attempt at the last crash.
-    :param refused_s: seconds for which it is still refused; 0.0 when it is
-        not.
+    :param refused_s: seconds for which it remains refused; 0.0 when it is
+        not refused.
     :param age_s: seconds since the last crash.
-    :param upstreams: those that crashed under it, ``ID/INCARNATION`` each.
-    :param cleared: crashes that it is cleared of.
+    :param upstreams: upstreams that crashed while they ran it,
+        ``ID/INCARNATION`` each.
+    :param cleared: number of crashes that it has been cleared of.
     """
 
     digest: str
@@ -53,8 +54,8 @@
 
     :param node: settings of the node role.
     :param members: the members of the fleet.
-    :param transport: the messages of this process.
-    :param recorder: takes note of decisions.
+    :param transport: sends and receives messages.
+    :param recorder: logs decisions.
     """
 
     def __init__(
@@ -69,45 +70,46 @@
         self.suspects = crashing.Suspects(node.crash_limit, node.crash_hold_s)
         self.members = members
         self.recorder = recorder
-        # When this process last let a request run on trial.
+        # Start of the last trial here of each request, by digest.
         self.trials: dict[str, float] = {}
         self.disseminator = dissemination.Disseminator(
             members, transport, self
         )
-        # Requests that are refused now.
+        # Digests of the requests that are refused now.
         self.refused: set[str] = set()
         self.counts: collections.Counter = collections.Counter()
 
     async def on_start(self) -> None:
-        """Start to exchange what is known."""
+        """Register the metrics and start to exchange facts."""
         metrics.collect(self.samples)
         await self.add_runtime_dependency(self.disseminator)
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """Forget what is too old."""
+        """Remove expired facts and end refusals whose time is over."""
         while not self.should_stop:
             await self.sleep(SWEEP_INTERVAL_S)
             for digest in self.suspects.forget(clock.now()):
                 self.trials.pop(digest, None)
             for digest in list(self.refused):
-                self._check(digest, 'its time is over')
+                self._check(digest, 'the hold time is over')
 
-    # What the request path asks and tells
+    # Interface to the request path
 
     def standing(self, digest: str) -> crashing.Standing:
-        """Return what is known of a request."""
+        """Return the standing of a request."""
         return self.suspects.standing(digest, clock.now())
 
     def refuses(self, digest: str) -> bool:
-        """Tell whether a request is not to reach an upstream."""
+        """Return whether a request must not reach an upstream now."""
         return self.suspects.refuses(digest, clock.now())
 
     def may_begin(self, digest: str) -> bool:
-        """Tell whether a request of this host's callers may be sent on.
+        """Return whether a request of this host's callers may be sent.
 
-        One whose time of refusal is over runs on trial, at one host of the
-        fleet and one at a time: it may crash another upstream.
+        A request whose hold time is over may crash another upstream, so it
+        runs on trial: at one host of the fleet only, and one trial at a
+        time.
         """
         now = clock.now()
         if not self.suspects.on_trial(digest):
@@ -122,12 +124,12 @@
         return True
 
     def may_retry(self, digest: str) -> bool:
-        """Tell whether a request that failed may reach another upstream."""
+        """Return whether a failed request may be sent to another upstream."""
         crashes = self.suspects.standing(digest, clock.now()).crashes
         return crashes < self.suspects.limit - 1
 
     def _is_trial_host(self, digest: str) -> bool:
-        """Tell whether trials of a request are up to this host."""
+        """Return whether trials of a request run at this host."""
         nodes = [each for each in self.members.alive() if not each.control]
         ranked = rendezvous.rank(digest, nodes)
         return bool(ranked) and ranked[0].host == self.members.me.host
@@ -139,12 +141,13 @@
         proven: bool,
         how: str,
     ) -> None:
-        """Take note that an upstream of this host crashed.
+        """Record the crash of an upstream of this host.
 
-        :param incarnation: names the upstream and its start.
-        :param requests: ids of what it was running, by digest.
-        :param proven: whether it had served anything since its start.
-        :param how: what shows that it crashed.
+        :param incarnation: id of the upstream and its incarnation.
+        :param requests: ids of the requests that it was running, by digest.
+        :param proven: whether this incarnation had served a request
+            successfully.
+        :param how: evidence of the crash, for the log.
         """
         self.counts['crashes'] += 1
         facts = self.suspects.crashed(incarnation, requests, proven)
@@ -165,15 +168,17 @@
             self.recorder.tell(event, decisions.TROUBLE)
 
     def record_success(self, digest: str) -> None:
-        """Take note that a request was answered well."""
+        """Clear a request that was answered successfully."""
         if digest:
             facts = self.suspects.ended_well(digest, clock.now())
-            self._clear(facts, 'it ended well')
+            self._clear(facts, 'it succeeded')
 
     def clear(self, digest: str) -> int:
-        """Clear a request, as an operator wants; return of how many crashes.
+        """Clear a request on behalf of an operator.
 
-        It may run again until further upstreams crash under it.
+        It is served again until further upstreams crash while they run it.
+
+        :return: the number of crashes that it was cleared of.
         """
         facts = self.suspects.clearing(digest, clock.now())
         self._clear(facts, 'an operator cleared it')
@@ -185,17 +190,19 @@
         if facts:
             self._add_facts(facts, THIS_HOST, why)
 
-    # What other processes tell
+    # Facts from other processes
 
     def facts_for(
         self, keys: typing.Collection[dissemination.Key]
     ) -> list[crashing.Fact]:
-        """Return facts that are still known."""
+        """Return those of the facts that are still known."""
         now = clock.now()
         wanted = set(keys)
         return [
             fact
-            for digest in dict.fromkeys(digest for digest, _life in keys)
+            for digest in dict.fromkeys(
+                digest for digest, _incarnation in keys
+            )
             for fact in self.suspects.facts(digest, now)
             if (fact.digest, fact.life) in wanted
         ]
@@ -208,38 +215,38 @@
     def receive(
         self, sender: str, facts: typing.Iterable[crashing.Fact]
     ) -> None:
-        """Take facts that another process told."""
+        """Add facts received from another process."""
         self._add_facts(facts, sender)
 
     def _add_facts(
         self, facts: typing.Iterable[crashing.Fact], sender: str, why: str = ''
     ) -> None:
-        """Take facts in, and pass on what is news."""
+        """Add facts and broadcast the new ones."""
         now = clock.now()
         facts = list(facts)
-        news = [fact for fact in facts if self.suspects.learn(fact, now)]
+        new_facts = [fact for fact in facts if self.suspects.learn(fact, now)]
         self.counts['facts'] += len(facts)
-        self.counts['doubled'] += len(facts) - len(news)
-        if not news:
+        self.counts['doubled'] += len(facts) - len(new_facts)
+        if not new_facts:
             return
         exclude = '' if sender == THIS_HOST else sender
         self.disseminator.broadcast(
-            [(f.digest, f.life) for f in news], exclude
+            [(f.digest, f.life) for f in new_facts], exclude
         )
-        for digest in dict.fromkeys(fact.digest for fact in news):
+        for digest in dict.fromkeys(fact.digest for fact in new_facts):
             self._clear_if_succeeded(digest, now)
-            self._check(digest, why or 'told by %s' % sender)
+            self._check(digest, why or 'reported by %s' % sender)
 
     def _clear_if_succeeded(self, digest: str, now: float) -> None:
-        """Clear a request that this process has seen to end well of late."""
+        """Clear a suspected request that succeeded here recently."""
         if not self.suspects.was_sound(digest, now):
             return
         if self.suspects.standing(digest, now).crashes >= CLEAR_AT_CRASHES:
             facts = self.suspects.clearing(digest, now)
-            self._clear(facts, 'it ended well here of late')
+            self._clear(facts, 'it succeeded here recently')
 
     def _check(self, digest: str, why: str) -> None:
-        """Tell when a request begins or ceases to be refused."""
+        """Log and count the start or the end of a refusal."""
         standing = self.standing(digest)
         refused = standing.refused_s > 0
         if refused == (digest in self.refused):
@@ -263,10 +270,10 @@
         )
         self.recorder.tell(event, decisions.BELIEF)
 
-    # What operators see
+    # Metrics and local API
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
-        """Yield the samples."""
+        """Yield the metrics of the quarantine."""
         suspects = len(self.suspects.crashes)
         yield metrics.Sample('quarantine_suspects', suspects)
         yield metrics.Sample('quarantine_refused', len(self.refused))
@@ -278,7 +285,7 @@
         yield metrics.Sample('quarantine_released_total', counts['released'])
 
     def list_suspects(self) -> list[Suspect]:
-        """Return what is known of each request, refused ones first."""
+        """Return all suspected requests, refused ones first."""
         found = [
             (digest, self.standing(digest)) for digest in self.suspects.crashes
         ]
--- a/carawaystair/request/__init__.py
+++ b/carawaystair/request/__init__.py
@@ -1,7 +1,7 @@
-"""The path of a caller's request, from its first byte to its last.
+"""The request path: callers' connections, attempts at upstreams, answers.
 
-:func:`make` puts the parts together; ``docs/design/request-path.md`` tells
-why they are as they are.
+:func:`make` assembles it; ``docs/design/request-path.md`` explains the
+design.
 """
 
 import importlib
@@ -27,14 +27,15 @@
 ) -> mode.Service:
     """Return the service that answers callers at ``node.listen``.
 
-    Its parts are imported only by nodes that have it: a gateway uses some
-    modules of this package, and its start should not pay for all.
+    Its modules are imported here and not at the top: a gateway uses only
+    some modules of this package and should not load the others at its
+    start.
 
-    :param quarantine: knows requests that crash upstreams.
+    :param quarantine: refuses requests that crash upstreams.
     :param routing: returns the configuration in force; None or one of
         version ``rows.NONE`` while there is none.
-    :param behind_s: returns since when a newer one is known, seconds; 0.0
-        while none is.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while none is.
     """
     service = importlib.import_module('carawaystair.request.service')
     parts = service.Parts(
--- a/carawaystair/request/answer.py
+++ b/carawaystair/request/answer.py
@@ -1,4 +1,4 @@
-"""The answer of an upstream, and why there may be none."""
+"""Answers of upstreams, and the failure of attempts to get one."""
 
 import typing
 
@@ -7,20 +7,20 @@
 from carawaystair import codes
 from carawaystair.request import headers
 
-# Statuses and a method that never have a body (RFC 9110 6.4.1).
+# Statuses whose answers never have a body (RFC 9110 6.4.1).
 BODILESS_STATUSES = frozenset((204, 304))
 
 
 class Answer(typing.NamedTuple):
     """The answer to a request.
 
-    :param status: its status.
-    :param reason: the phrase that goes with the status.
-    :param headers: as they arrived.
+    :param status: the status code.
+    :param reason: the reason phrase.
+    :param headers: names and values as they arrived.
     :param connection: the values of its ``Connection`` header, or None.
-    :param body: the body as far as it is here.
-    :param rest: the attempt that the rest of a long body comes from; None
-        when ``body`` is the whole.
+    :param body: the whole body, or the beginning of a long one.
+    :param rest: the attempt from which the rest of a long body is read;
+        None when ``body`` is complete.
     """
 
     status: int
@@ -32,12 +32,13 @@
 
 
 class Failed(Exception):
-    """An attempt brought no answer.
+    """Raised when an attempt brought no answer.
 
-    :param outcome: what it shows about the upstream, see ``interfaces``.
-    :param code: what the caller is told when no other attempt is made.
+    :param outcome: the outcome recorded for the upstream, see
+        ``interfaces``.
+    :param code: result code for the caller if no other attempt is made.
     :param sent: whether the request may have run.
-    :param detail: the circumstances, for a person.
+    :param detail: human-readable details.
     """
 
     def __init__(
@@ -51,7 +52,11 @@
 
 
 def body_size(answer: Answer) -> int:
-    """Return the bytes of an answer's body, as far as they are known."""
+    """Return the length of an answer's body in bytes.
+
+    For a long body without ``Content-Length`` this is the length of the
+    part that was read.
+    """
     if answer.rest is None:
         return len(answer.body)
     length = headers.value(answer.headers, b'content-length')
@@ -59,29 +64,29 @@
 
 
 def has_no_body(message: http.RawResponseMessage, method: str) -> bool:
-    """Tell whether an answer has no body whatever its headers say."""
+    """Return whether an answer has no body, whatever its headers say."""
     return method == 'HEAD' or message.code in BODILESS_STATUSES
 
 
 def declared_length(message: http.RawResponseMessage) -> int | None:
-    """Return the length that an answer declares, None for chunks.
+    """Return the length that an answer declares, None when it is chunked.
 
-    :raises ValueError: when the answer does not tell where it ends, or
-        tells it in two ways, which a proxy and an upstream may read
-        differently (RFC 9112 6.3).
+    :raises ValueError: when the answer declares no length, or declares it
+        in two ways, which proxy and upstream may interpret differently
+        (RFC 9112 6.3).
     """
     length = message.headers.get('Content-Length')
     if message.chunked:
         if length is not None:
-            raise ValueError('both Content-Length and chunks')
+            raise ValueError('both Content-Length and chunked encoding')
         return None
     if length is None or not length.isdecimal() or not length.isascii():
-        raise ValueError('no length')
+        raise ValueError('no valid Content-Length')
     return int(length)
 
 
 def is_refusal(answer: Answer) -> bool:
-    """Tell whether an upstream says that it refused before running."""
+    """Return whether an upstream states that it did not run the request."""
     return (
         answer.status == 503
         and headers.value(answer.headers, b'caraway-outcome') == b'not-run'
--- a/carawaystair/request/attempt.py
+++ b/carawaystair/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream."""
+"""One attempt to get an answer from one upstream."""
 
 import asyncio
 
@@ -16,20 +16,20 @@
 from carawaystair.request import headers
 from carawaystair.request import target as targets
 
-# Bodies up to this length are held until whole, so that another attempt
-# can take the place of one that breaks; longer ones are streamed.
-HOLD_BYTES = 128 * 1024
+# Bodies up to this length are buffered whole, so that a request can be retried
+# when its answer breaks off; longer ones are streamed to the caller.
+MAX_BUFFERED_BYTES = 128 * 1024
 BROKEN = (aiohttp.ClientError, ConnectionError, OSError)
 
 
 class Attempt:
-    """One attempt; its answer is read by :meth:`answer`, once or again.
+    """One attempt; :meth:`answer` reads its answer and may be repeated.
 
     :param call: the request.
     :param target: the upstream.
-    :param extra: header lines of this attempt alone, such as a range.
-    :param fresh: whether it must have a new connection; once it has one,
-        whether that is new or was used a moment ago.
+    :param extra: header lines for this attempt only, such as a range.
+    :param fresh: whether to open a new connection; after :meth:`connect`,
+        whether the connection is new or was used within ``RECENT_USE_S``.
     """
 
     __slots__ = (
@@ -62,26 +62,29 @@
         self.extra = extra
         self.fresh = fresh
         self.connection: connections.Connection | None = None
-        # Rings when the connection is to be doubted; set once the answer
-        # is late.
+        # Fires when the connection becomes suspect; set once the answer is
+        # late.
         self.suspicion_timer: asyncio.TimerHandle | None = None
         self.message = None
         self.payload = None
         self.pump: bodies.Pump | None = None
         self.chunks: list[bytes] = []
         self.size = 0
-        # True from the moment before the first byte goes out.
+        # True from just before the first byte is sent.
         self.sent = False
-        # True once its end was recorded as evidence.
+        # True once its outcome was reported as evidence.
         self.recorded = False
         self.started = clock.now()
-        # How long opening a connection may take, seconds.
+        # Timeout for opening a connection, seconds.
         self.connect_timeout_s = connections.CONNECT_TIMEOUT_S
 
     # Sending
 
     async def connect(self) -> None:
-        """Get a connection; raises :class:`answers.Failed`."""
+        """Get a pooled or new connection.
+
+        :raises answers.Failed: when none can be opened.
+        """
         now = self.started
         if not self.fresh:
             self.connection = connections.acquire(
@@ -98,7 +101,7 @@
                     self.target, self.call.deadline, self.connect_timeout_s
                 )
             except OSError as error:
-                # TimeoutError is one, too.
+                # Includes TimeoutError.
                 raise answers.Failed(
                     interfaces.REFUSED,
                     codes.CONNECT_FAILED,
@@ -108,12 +111,17 @@
         self.connection.owner = self
 
     def max_idle_s(self) -> float:
-        """Return how long the connection may have been idle, in seconds."""
-        again = self.call.idempotent
-        return connections.MAX_IDLE_S if again else connections.RECENT_USE_S
+        """Return how long a pooled connection may be idle, in seconds."""
+        idempotent = self.call.idempotent
+        return (
+            connections.MAX_IDLE_S if idempotent else connections.RECENT_USE_S
+        )
 
     def send(self) -> None:
-        """Send the request; raises :class:`answers.Failed`."""
+        """Send the request.
+
+        :raises answers.Failed: when it was not sent.
+        """
         call = self.call
         left_ms = int((call.deadline - clock.now()) * 1000)
         if left_ms <= 0:
@@ -121,9 +129,12 @@
                 interfaces.CANCELLED, codes.DEADLINE_EXPIRED, False
             )
         if self.is_leaving():
-            # It began to leave while the connection was made.
+            # It began to leave while the connection was opened.
             raise answers.Failed(
-                interfaces.CANCELLED, codes.UPSTREAM_REFUSED, False, 'leaving'
+                interfaces.CANCELLED,
+                codes.UPSTREAM_REFUSED,
+                False,
+                'upstream is leaving',
             )
         proto = self.connection.proto
         proto.expect(call.method == 'HEAD')
@@ -134,15 +145,18 @@
         )
         if not proto.open:
             raise answers.Failed(
-                interfaces.CANCELLED, codes.CONNECT_FAILED, False, 'recorded'
+                interfaces.CANCELLED,
+                codes.CONNECT_FAILED,
+                False,
+                'connection closed before the request was sent',
             )
         self.sent = True
         self.write(head)
 
     def write(self, head: bytes) -> None:
-        """Write the request: its head, and its body or where that begins.
+        """Write the request head and the body, or start to stream it.
 
-        :param head: all but the header that tells the length of the body.
+        :param head: the head without the header that declares the body.
         """
         call, transport = self.call, self.connection.proto.transport
         if call.body is None:
@@ -157,13 +171,13 @@
             transport.write(head + b'\r\n')
 
     def is_leaving(self) -> bool:
-        """Tell whether the upstream takes no new work any more."""
+        """Return whether the upstream no longer accepts new requests."""
         return self.target.upstream.state != interfaces.UP
 
     def attempt_headers(self, left_ms: int) -> bytes:
-        """Return the header lines that change with every attempt.
+        """Return the header lines that differ between attempts.
 
-        :param left_ms: time that is left for the request, ms.
+        :param left_ms: time until the deadline of the request, ms.
         """
         return b'Caraway-Request-Id: %b\r\nCaraway-Deadline-Ms: %d\r\n' % (
             self.call.id.encode(),
@@ -171,38 +185,38 @@
         )
 
     def streamed_body(self) -> bodies.Source:
-        """Return the body, where it is not held here."""
+        """Return the body of a request that is streamed."""
         return bodies.source(self.call)
 
-    # The end
+    # End
 
     def release_connection(self, now: float) -> None:
-        """Let the connection of an answer that was read whole go on."""
+        """Return the connection to the pool after a complete answer."""
         if self.pump is not None and not self.pump.finished:
-            # The answer came before the body was taken: what is left of the
-            # body must not be read as another request.
+            # The answer arrived before the whole body was sent.  The rest of
+            # the body must not be read as another request.
             self.pump.task.cancel()
             self.connection.proto.abort()
         else:
             connections.release(self.connection, now)
 
     def abort(self) -> None:
-        """Close the connection, doubtful or not."""
+        """Abort the connection."""
         if self.pump is not None and self.pump.task is not None:
             self.pump.task.cancel()
         if self.connection is not None:
             self.connection.proto.abort()
 
-    # The answer
+    # Answer
 
     async def answer(self, until: float) -> answers.Answer:
-        """Return the answer, whole or, when it is long, its beginning.
+        """Return the complete answer, or the beginning of a long one.
 
-        May be cancelled and called again: it goes on where it was.
+        It may be cancelled and called again, and then continues to read.
 
         :param until: monotonic time at which to stop waiting.
-        :raises answers.Failed: when there is none.
-        :raises TimeoutError: when it is not here by then.
+        :raises answers.Failed: when the attempt failed.
+        :raises TimeoutError: when the answer has not arrived by then.
         """
         try:
             if self.message is None:
@@ -221,7 +235,8 @@
     def _failure(self, code: codes.Code, error: object) -> answers.Failed:
         refused = self.pump.refusal if self.pump is not None else None
         if refused is not None:
-            # The caller's own body was at fault, and we cut the connection.
+            # The caller's body was at fault, and this node aborted the
+            # connection.
             return answers.Failed(
                 interfaces.CANCELLED, refused.code, True, refused.detail
             )
@@ -238,17 +253,17 @@
         self.payload = payload
 
     def check_interim(self, message) -> None:
-        """Take note of an answer that only precedes the real one."""
+        """Check an interim answer (1xx), which precedes the final one."""
         if message.code == 101:
-            # Nobody asked for another protocol.
-            raise self._failure(codes.ANSWER_MALFORMED, 'unasked 101')
+            # The request did not ask for an upgrade.
+            raise self._failure(codes.ANSWER_MALFORMED, 'unexpected 101')
 
     def check_request_id(self, message) -> None:
-        """Make sure that an answer belongs to this request.
+        """Check that an answer belongs to this request.
 
-        The upstream may have mixed up its answers, or answers late to a
-        request that was given up: passed on, it would show one caller what
-        belongs to another.
+        An upstream may mix up answers, or answer late a request that was
+        given up.  Forwarding such an answer would disclose it to another
+        caller.
         """
         named = message.headers.get(headers.REQUEST_ID)
         if named is not None and named != self.call.id:
@@ -257,29 +272,31 @@
     async def _body(self) -> answers.Answer:
         message = self.message
         if answers.has_no_body(message, self.call.method):
-            return self._made(b'')
+            return self._build_answer(b'')
         length = self.length(message)
-        if length is not None and length > HOLD_BYTES:
-            return self._made(b'', self)
+        if length is not None and length > MAX_BUFFERED_BYTES:
+            return self._build_answer(b'', self)
         payload = self.payload
         while not payload.at_eof():
             chunk = await payload.readany()
             self.chunks.append(chunk)
             self.size += len(chunk)
-            if self.size > HOLD_BYTES:
-                return self._made(b''.join(self.chunks), self)
-        return self._made(b''.join(self.chunks))
+            if self.size > MAX_BUFFERED_BYTES:
+                return self._build_answer(b''.join(self.chunks), self)
+        return self._build_answer(b''.join(self.chunks))
 
     def length(self, message) -> int | None:
-        """Return the declared length of an answer, None where it has none."""
+        """Return the declared length of an answer, None when chunked."""
         try:
             return answers.declared_length(message)
         except ValueError as error:
-            both = message.chunked
-            code = codes.ANSWER_MALFORMED if both else codes.ANSWER_UNBOUNDED
+            chunked = message.chunked
+            code = (
+                codes.ANSWER_MALFORMED if chunked else codes.ANSWER_UNBOUNDED
+            )
             raise self._failure(code, error) from None
 
-    def _made(self, body: bytes, rest=None) -> answers.Answer:
+    def _build_answer(self, body: bytes, rest=None) -> answers.Answer:
         message = self.message
         owner = self.connection.owner
         invariants.check(
@@ -296,10 +313,10 @@
 
     @property
     def silent(self) -> bool:
-        """Tell whether it was sent and nothing at all has come back."""
+        """Return whether it was sent and no answer has begun to arrive."""
         return self.sent and self.message is None
 
     @property
     def reused(self) -> bool:
-        """Tell whether its connection has carried an answer before."""
+        """Return whether its connection has carried an answer before."""
         return self.connection is not None and self.connection.uses > 0
--- a/carawaystair/request/attempt_tracker.py
+++ b/carawaystair/request/attempt_tracker.py
@@ -1,7 +1,7 @@
-"""The life of an attempt: its start, its end, and what is kept of both.
+"""Starts and ends attempts, and records their outcomes.
 
-Every attempt that was started is ended exactly once, so that connections,
-shared_permits and evidence add up whatever goes wrong.
+Every attempt that was started is ended exactly once, whatever goes wrong, so
+that no connection, permit or evidence is lost or counted twice.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 from carawaystair.request import silent_connections
 from carawaystair.request import target as targets
 
-# A failure makes an upstream look as slow as this, at least: one that fails
-# fast must not draw work by its speed.
+# Minimum latency that a failure counts as: an upstream that fails fast must
+# not attract requests by its speed.
 FAILURE_LATENCY_S = 1.0
-# An upstream that was told a deadline is taken to have stopped so long
-# after it, whatever it says.
+# A cancelled request counts as stopped this long after its deadline, even if
+# the upstream has not closed the connection.
 RELEASE_GRACE_S = 0.5
-# New work for an upstream that has begun to leave breaks a promise after
-# this time.
+# A request sent to an upstream this long after it began to leave violates an
+# invariant.
 DRAIN_GRACE_S = 3.0
 FAILURES = frozenset(
     (
@@ -44,11 +44,11 @@
 
 
 class AttemptTracker:
-    """The attempts of one node.
+    """Tracks the attempts of one node.
 
-    :param selector: chooses upstreams.
-    :param evidence: is told what every attempt showed.
-    :param quarantine: knows requests that crash upstreams.
+    :param selector: selects upstreams.
+    :param evidence: receives the outcome of every attempt.
+    :param quarantine: refuses requests that crash upstreams.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         self.evidence = evidence
         self.budgets: dict[str, budgets.Budget] = {}
         self.latencies = latencies.RouteLatencies()
-        # What runs beside the requests: work that a stop waits for, and
-        # attempts that are only watched.
+        # Background tasks: those that a stop waits for, and those that it
+        # cancels.
         self.tasks: set[asyncio.Task] = set()
         self.cancellable_tasks: set[asyncio.Task] = set()
 
-    # Starts
+    # Start
 
     def start(
         self,
@@ -77,13 +77,16 @@
         extra: bytes = b'',
         fresh: bool = False,
     ) -> attempts.Attempt:
-        """Begin an attempt."""
+        """Create an attempt."""
         attempt = attempts.Attempt(call, target, extra, fresh)
         target.in_flight += 1
         return attempt
 
     async def dispatch(self, attempt: attempts.Attempt) -> None:
-        """Send a request to its upstream; raises ``answers.Failed``."""
+        """Connect to the upstream and send the request.
+
+        :raises answers.Failed: when it was not sent.
+        """
         await attempt.connect()
         attempt.send()
         call = attempt.call
@@ -103,19 +106,19 @@
                 attempt.target.upstream.id,
             )
 
-    # Ends
+    # End
 
     def complete(
         self, attempt: attempts.Attempt, answer: answers.Answer
     ) -> None:
-        """Take note of an answer, and of its connection when it is whole."""
+        """Record an answer, and finish the attempt if it is complete."""
         self.record_outcome(attempt, outcome_of(answer))
         silent_connections.resolve_suspicion(attempt)
         if answer.rest is None:
             self.finish(attempt)
 
     def finish(self, attempt: attempts.Attempt) -> None:
-        """Let the connection of an answer that was read whole go on."""
+        """End an attempt whose answer was read to its end."""
         target = attempt.target
         target.in_flight -= 1
         if attempt.message.code < 500:
@@ -133,31 +136,34 @@
         self.abort(attempt)
 
     def _broken_outcome(self, attempt: attempts.Attempt) -> str:
-        """Tell what the end of a connection without a byte shows."""
+        """Return the outcome when a connection broke without an answer."""
         if self.is_connection_lost(attempt):
             return interfaces.SILENT
         idle_s = attempt.started - attempt.connection.last_used
         if attempt.reused and idle_s > connections.RECENT_USE_S:
-            # An idle connection that the upstream closed just then: this
-            # says nothing about how it works.
+            # The upstream may have closed the idle connection just then,
+            # which is no evidence against it.
             return interfaces.CANCELLED
         return interfaces.BROKEN
 
     def abort(self, attempt: attempts.Attempt) -> None:
-        """End an attempt that has answered but is not read to its end."""
+        """End an attempt without waiting for the upstream to stop.
+
+        Used when the attempt failed, or its answer is not read to its end.
+        """
         attempt.target.in_flight -= 1
         attempt.abort()
 
     def time_out(
         self, attempt: attempts.Attempt, permit: shared_permits.SharedPermit
     ) -> answers.Failed:
-        """End an attempt whose time is over, and return the failure."""
+        """End an attempt at its deadline, and return the failure."""
         outcome = self.timeout_outcome(attempt)
         self.cancel(attempt, outcome, permit)
         return answers.Failed(outcome, codes.ANSWER_LATE, attempt.sent)
 
     def timeout_outcome(self, attempt: attempts.Attempt) -> str:
-        """Tell whether an upstream or its connection kept silent."""
+        """Return the outcome of an attempt whose answer did not arrive."""
         return (
             interfaces.SILENT
             if self.is_connection_lost(attempt)
@@ -165,7 +171,7 @@
         )
 
     def is_connection_lost(self, attempt: attempts.Attempt) -> bool:
-        """Tell whether an attempt's connection was found to be lost."""
+        """Return whether an attempt's connection was found to be lost."""
         return (
             attempt.silent
             and attempt.connection.opened_at < attempt.target.lost_before
@@ -177,9 +183,11 @@
         outcome: str,
         permit: shared_permits.SharedPermit | None = None,
     ) -> None:
-        """Cancel an attempt, whose permit counts until it is known to be free.
+        """Cancel an attempt.
+
+        It counts as in flight until the upstream is known to have stopped.
 
-        :param permit: the admission's permit that is given back then, too.
+        :param permit: the request's permit, held until then as well.
         """
         self.record_outcome(attempt, outcome)
         silent_connections.clear_suspicion(attempt)
@@ -206,10 +214,10 @@
             if permit is not None:
                 permit.release()
 
-    # What is kept
+    # Records
 
     def record_outcome(self, attempt: attempts.Attempt, outcome: str) -> None:
-        """Record what an attempt showed, once."""
+        """Record the outcome of an attempt; only the first call counts."""
         if attempt.recorded:
             return
         attempt.recorded = True
@@ -232,7 +240,7 @@
     def report_evidence(
         self, attempt: attempts.Attempt, outcome: str, latency_s: float
     ) -> None:
-        """Pass evidence on."""
+        """Report the outcome of an attempt as evidence."""
         call = attempt.call
         self.evidence.record(
             interfaces.Attempt(
@@ -247,7 +255,7 @@
         )
 
     def hedge_time(self, call: calls.Call) -> float:
-        """Return when a hedge of a request goes out, monotonic time."""
+        """Return when to send a hedge of a request, monotonic time."""
         now = clock.now()
         left_s = call.deadline - now
         wait_s = self.latencies.of(call.match.key).hedge_s(left_s)
@@ -261,11 +269,11 @@
         return budget
 
     def spawn(self, coroutine: typing.Coroutine) -> asyncio.Task:
-        """Run something beside the requests, to its end."""
+        """Start a background task that a stop waits for."""
         return _track_task(coroutine, self.tasks)
 
     def spawn_cancellable(self, coroutine: typing.Coroutine) -> asyncio.Task:
-        """Run something beside the requests that a stop may cancel."""
+        """Start a background task that a stop cancels."""
         return _track_task(coroutine, self.cancellable_tasks)
 
 
@@ -279,7 +287,7 @@
 
 
 def outcome_of(answer: answers.Answer) -> str:
-    """Return what an answer shows about its upstream."""
+    """Return the outcome that an answer means for its upstream."""
     if answer.status < 500:
         return interfaces.GOOD
     if answer.status == 503 and (
--- a/carawaystair/request/base_handler.py
+++ b/carawaystair/request/base_handler.py
@@ -1,4 +1,4 @@
-"""What every answer to a caller needs, whoever sends the request on."""
+"""Base class of the handlers of callers' requests."""
 
 import itertools
 import math
@@ -17,21 +17,21 @@
 
 LOG = logs.get('request')
 
-# A node that is behind the configuration has caught up within this time, as
-# a rule: the median of 128 nodes during a storm of changes (exp_storms).
+# Time in which a node usually catches up with a newer configuration: the
+# median of 128 nodes during frequent changes.
 CATCH_UP_S = 0.6
 
 
 class BaseHandler:
-    """Takes requests, and answers what can't be served.
+    """Handles requests and writes error answers.
 
-    :param prefix: begins the ids of requests, other at every start.
-    :param drain_s: time that a stop gives to requests in flight; none may
-        have more, or a stop would cut it off.
+    :param prefix: prefix of request ids, different after every start.
+    :param drain_s: time that a stop waits for requests in flight, seconds;
+        it bounds their deadlines, since a stop would cut off longer ones.
     :param routing: returns the configuration in force.
-    :param behind_s: returns since when a newer one is known, seconds; 0.0
-        while none is.
-    :param meters: counts what callers are told.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while none is.
+    :param meters: counts requests by outcome.
     """
 
     def __init__(
@@ -44,18 +44,21 @@
     ) -> None:
         self.prefix = prefix
         self.request_numbers = itertools.count(1)
-        # Without a drain, a stop cuts off whatever there is.
+        # Without a drain time, deadlines are not bounded by it.
         self.max_duration_s = drain_s or math.inf
         self.routing = routing
         self.behind_s = behind_s
         self.meters = meters
         self.keyed_bodies = bodies.KeyedBodies()
         self.active = 0
-        # While the node stops: the time by which everything must be over.
+        # While the node stops: the time by which all requests must end.
         self.stop_deadline: float | None = None
 
     async def handle(self, request: http_server.Request) -> bool:
-        """Answer one request; return whether another may follow."""
+        """Answer one request.
+
+        :return: whether another one may follow on the connection.
+        """
         exchange = exchanges.Exchange(request, self._new_request_id(request))
         if self.stop_deadline is not None:
             exchange.keep_alive = False
@@ -75,8 +78,8 @@
             self._answer_error(exchange, failed.code, outcome, failed.detail)
         except ConnectionError as error:
             exchange.keep_alive = False
-            # That of another connection tells nothing of this caller, who
-            # would hear nothing.
+            # If the caller's connection is still open, the error comes from
+            # another one, and the caller must get an answer.
             if request.connection.open:
                 self._answer_internal_error(exchange, error)
         except Exception as error:
@@ -88,9 +91,9 @@
     def _no_route(self) -> validation.Refused:
         """Return the refusal of a request that no route matches.
 
-        A node that knows of a newer configuration can't say that there is no
-        route: one may have been added.  Callers don't repeat a request after
-        a 404; after the other refusal they do, and find the route.
+        While a newer configuration is known but not in force, a route may
+        have been added.  Callers don't retry after a 404, but they do after
+        the other refusal, and then find the route.
         """
         if not self.behind_s():
             return validation.Refused(codes.NO_ROUTE)
@@ -99,17 +102,21 @@
         )
 
     def _new_request_id(self, request: http_server.Request) -> str:
-        """Return the id of a request."""
+        """Return a new id for a request."""
         return '%s-%x' % (self.prefix, next(self.request_numbers))
 
     async def _answer(
         self, request: http_server.Request, exchange: exchanges.Exchange
     ) -> None:
-        """Answer a request that was read; raises what it is refused for."""
+        """Answer a request.
+
+        :raises validation.Refused: when it is refused.
+        :raises answers.Failed: when no upstream answered it.
+        """
         raise NotImplementedError
 
     def _check_stopping(self, call: calls.Call) -> None:
-        """Refuse what might have to be cut when the node is gone."""
+        """Refuse a request that might not end before the node stops."""
         if call.bulk or call.deadline > self.stop_deadline:
             raise validation.Refused(codes.LEAVING)
 
@@ -122,7 +129,7 @@
         exchange: exchanges.Exchange,
         length: int | None,
     ) -> calls.Call:
-        """Return the request with its body, or with the way to read it."""
+        """Return the request with its body, buffered or streamed."""
         limit = call.match.service.max_body
         bodies.check_length(length, limit)
         if bodies.expects_continue(request):
@@ -134,23 +141,23 @@
             )
             return call._replace(body=body)
         if length is not None and length > bodies.MAX_BUFFERED_BYTES:
-            first = await bodies.read(
+            prefix = await bodies.read(
                 content, bodies.PREFIX_BYTES, limit, call.deadline
             )
             return call._replace(
                 body=None,
                 stream=content,
                 length=length,
-                body_prefix=first.data,
+                body_prefix=prefix.data,
             )
-        begun = await bodies.read_start(content, limit, call.deadline)
-        if begun.complete and len(begun.data) <= bodies.MAX_BUFFERED_BYTES:
-            return call._replace(body=begun.data)
+        start = await bodies.read_start(content, limit, call.deadline)
+        if start.complete and len(start.data) <= bodies.MAX_BUFFERED_BYTES:
+            return call._replace(body=start.data)
         return call._replace(
-            body=None, stream=content, length=None, body_prefix=begun.data
+            body=None, stream=content, length=None, body_prefix=start.data
         )
 
-    # What goes wrong
+    # Errors
 
     def _answer_error(
         self,
@@ -160,7 +167,7 @@
         detail: str,
         retry_after_s: float = 1.0,
     ) -> None:
-        """Answer with a failure of this node's own."""
+        """Count a failure and write an error answer."""
         self.meters.record_failed(outcome, code, exchange.id, detail)
         try:
             self._write_error(exchange, code, outcome, detail, retry_after_s)
@@ -175,16 +182,17 @@
         detail: str,
         retry_after_s: float,
     ) -> None:
-        # Callers read whole seconds.
+        # Callers expect whole seconds.
         whole_s = float(max(int(retry_after_s), 1))
         exchange.write_error(code, outcome, detail, whole_s)
 
     def _answer_internal_error(
         self, exchange: exchanges.Exchange, error: Exception
     ) -> None:
-        """Answer although this program is at fault.
+        """Answer after an unexpected error of this program.
 
-        The caller is promised nothing, and a half-written answer is broken.
+        The outcome of the request is unknown.  If its answer has been begun,
+        the caller's connection is aborted.
         """
         LOG.error('A request failed.', id=exchange.id, error=repr(error))
         if exchange.outcome is not None:
--- a/carawaystair/request/body.py
+++ b/carawaystair/request/body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: held here, or passed on as it comes."""
+"""The body of a caller's request: buffered, or streamed to the upstream."""
 
 import asyncio
 import typing
@@ -12,13 +12,13 @@
 from carawaystair.request import http_server
 from carawaystair.request import validation
 
-# Bodies up to this length are held before anything is sent: a slow caller
-# then takes up no upstream, and the request can be tried again.
+# Bodies up to this length are buffered before anything is sent: a slow caller
+# then occupies no upstream, and the request can be retried.
 MAX_BUFFERED_BYTES = 64 * 1024
-# Of longer ones so much is read first, which tells them apart.
+# The part of longer bodies that is read first, for the request's digest.
 PREFIX_BYTES = 16 * 1024
-# Bodies of keyed requests are held complete, because the key stands for what
-# the body says; all of them together may take this much memory.
+# Memory for the bodies of all keyed requests.  They are buffered whole,
+# because a repeat of the key is compared with the body.
 MAX_KEYED_BYTES = 64 * 1024 * 1024
 # Methods that get no Content-Length: 0 when there is no body.
 BODILESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
@@ -27,10 +27,10 @@
 
 
 class PartialBody(typing.NamedTuple):
-    """A body as far as it was read.
+    """The part of a body that has been read.
 
-    :param data: its bytes.
-    :param complete: whether they are all.
+    :param data: the bytes.
+    :param complete: whether they are the whole body.
     """
 
     data: bytes
@@ -38,7 +38,7 @@
 
 
 class KeyedBodies:
-    """Holds complete the bodies of keyed requests, in bounded memory."""
+    """Bounds the memory for the bodies of keyed requests."""
 
     def __init__(self) -> None:
         self.bytes = 0
@@ -50,31 +50,33 @@
         limit: int,
         deadline: float,
     ) -> bytes:
-        """Read a body complete; raises :class:`validation.Refused`.
+        """Read a whole body.
 
-        :param length: its length, None when it comes in chunks.
-        :param limit: bytes at most.
+        :param length: its length, None when it is chunked.
+        :param limit: maximum length.
+        :param deadline: monotonic time by which it must have arrived.
+        :raises validation.Refused: when it can't be read or buffered.
         """
-        # What a body in chunks will need is not known: it must fit whatever
-        # it turns out to be.
-        most = limit if length is None else length
-        if self.bytes + most > MAX_KEYED_BYTES:
+        # The length of a chunked body is unknown in advance, so the maximum
+        # is reserved for it.
+        reserved = limit if length is None else length
+        if self.bytes + reserved > MAX_KEYED_BYTES:
             raise validation.Refused(codes.MEMORY_FULL)
-        self.bytes += most
+        self.bytes += reserved
         try:
             body = await read(content, limit, limit, deadline)
         finally:
-            self.bytes -= most
+            self.bytes -= reserved
         self.bytes += len(body.data)
         return body.data
 
     def release(self, body: bytes) -> None:
-        """Forget a body."""
+        """Give back the memory of a body."""
         self.bytes -= len(body)
 
 
 def declared_length(request: http_server.Request) -> int | None:
-    """Return the length of a request's body, None when it is in chunks."""
+    """Return the length of a request's body, None when it is chunked."""
     length = request.headers.get('Content-Length')
     if length is not None:
         return int(length)
@@ -82,13 +84,13 @@
 
 
 def check_length(length: int | None, limit: int) -> None:
-    """Refuse a body that declares to be longer than its service allows."""
+    """Refuse a body whose declared length exceeds the service's limit."""
     if length is not None and length > limit:
         raise validation.Refused(codes.BODY_TOO_LARGE, '%d bytes' % length)
 
 
 def expects_continue(request: http_server.Request) -> bool:
-    """Tell whether the caller waits for ``100 Continue``."""
+    """Return whether the caller waits for ``100 Continue``."""
     value = request.headers.get('Expect')
     if value is None:
         return False
@@ -100,7 +102,7 @@
 async def read_start(
     content: streams.StreamReader, limit: int, deadline: float
 ) -> PartialBody:
-    """Read a body, or as much of a long one as is held."""
+    """Read a whole body, or the beginning of a long one."""
     if content.is_eof():
         data = content.read_nowait(-1)
         if len(data) > limit:
@@ -112,11 +114,12 @@
 async def read(
     content: streams.StreamReader, enough: int, limit: int, deadline: float
 ) -> PartialBody:
-    """Read a body; raises :class:`validation.Refused`.
+    """Read a body or its beginning.
 
-    :param enough: stop when more bytes than this are here.
-    :param limit: bytes at most.
-    :param deadline: monotonic time by which they must be here.
+    :param enough: stop once more bytes than this were read.
+    :param limit: maximum length of the body.
+    :param deadline: monotonic time by which it must have arrived.
+    :raises validation.Refused: when it is too long, late or malformed.
     """
     chunks = []
     size = 0
@@ -135,9 +138,9 @@
 
 
 def framing(length: int | None) -> bytes:
-    """Return the end of a head.
+    """Return the last lines of a request head, which declare the body.
 
-    :param length: bytes of the body, None when it comes in chunks.
+    :param length: bytes of the body, None when it is chunked.
     """
     if length is None:
         return b'Transfer-Encoding: chunked\r\n\r\n'
@@ -145,12 +148,12 @@
 
 
 class Source(typing.NamedTuple):
-    """A body that is passed on as it comes.
+    """A body that is streamed to the upstream.
 
-    :param stream: where it is read from.
-    :param length: its length, None when it comes in chunks.
-    :param prefix: the part that was read already.
-    :param limit: bytes at most.
+    :param stream: the reader of its rest.
+    :param length: its length, None when it is chunked.
+    :param prefix: the part that was already read.
+    :param limit: maximum length.
     """
 
     stream: streams.StreamReader
@@ -160,16 +163,16 @@
 
 
 def source(call: calls.Call) -> Source:
-    """Return the body of a request that is not held here."""
+    """Return the streamed body of a request."""
     limit = call.match.service.max_body
     return Source(call.stream, call.length, call.body_prefix, limit)
 
 
 class Pump:
-    """Passes a body on to an upstream, as fast as that takes it.
+    """Streams a body to an upstream, with back-pressure.
 
     :param source: the body.
-    :param proto: the upstream's connection.
+    :param proto: the protocol of the upstream's connection.
     """
 
     def __init__(self, source: Source, proto) -> None:
@@ -177,35 +180,34 @@
         self.proto = proto
         self.writer = http.StreamWriter(proto, asyncio.get_running_loop())
         self.task: asyncio.Task | None = None
-        # What went wrong on the caller's side, if anything did.
+        # The failure on the caller's side, if there was one.
         self.refusal: validation.Refused | None = None
 
     def framing(self) -> bytes:
-        """Return the end of the head, which tells how long the body is."""
+        """Return the last lines of the head, which declare the body."""
         return framing(self.source.length)
 
     def start(self) -> None:
-        """Send the body from a task of its own; the head has gone out."""
+        """Start a task that sends the body; the head was sent before."""
         if self.source.length is None:
             self.writer.enable_chunking()
         self.task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
-        """Pass the body on; on any fault the connection is cut.
+        """Send the body; abort the connection on any failure.
 
-        Cutting it is what keeps an upstream from taking half a body for a
-        complete one.
+        Otherwise, the upstream could take a truncated body for a whole one.
         """
         limit = self.source.limit
-        passed = len(self.source.prefix)
+        sent = len(self.source.prefix)
         content = self.source.stream
         try:
-            if passed:
+            if sent:
                 await self.send(self.source.prefix)
             while not content.at_eof():
                 chunk = await content.readany()
-                passed += len(chunk)
-                if passed > limit:
+                sent += len(chunk)
+                if sent > limit:
                     raise validation.Refused(codes.BODY_TOO_LARGE)
                 await self.send(chunk)
             await self.writer.write_eof()
@@ -223,16 +225,16 @@
             raise
 
     async def send(self, data: bytes) -> None:
-        """Pass some bytes on."""
+        """Send some bytes."""
         await self.writer.write(data)
 
     def abort(self) -> None:
-        """Break the upstream's connection."""
+        """Abort the upstream's connection."""
         if self.proto.transport is not None:
             self.proto.transport.abort()
 
     @property
     def finished(self) -> bool:
-        """Tell whether the complete body was passed on."""
+        """Return whether the whole body was sent."""
         task = self.task
         return task is not None and task.done() and not task.cancelled()
--- a/carawaystair/request/budget.py
+++ b/carawaystair/request/budget.py
@@ -1,21 +1,22 @@
-"""How many retries and hedges a service may have.
+"""Retry budgets, which limit the retries and hedges of each service.
 
-A token bucket filled by first attempts.  When all upstreams of a service
-fail, every request would be tried again, and the doubled load would keep
-them failing (a retry storm).  It shows as attempts outnumbering requests; a
-bucket that only first attempts fill makes it impossible.
+A budget is a token bucket that first attempts fill.  When all upstreams of a
+service fail, every request would otherwise be retried, and the additional
+load would keep the upstreams failing (a retry storm).  Since only first
+attempts add tokens, retries can't outnumber a fixed share of them.
 """
 
-# A bucket starts and ends with as many: a service that is seldom asked can
-# still retry, and one that has not retried for long can't burst.
+# Tokens of a full bucket, which it also starts with.  A service with little
+# traffic can still retry, and one that has not retried for a long time can't
+# burst.
 CAPACITY = 10.0
-# Hedges leave as many tokens for retries, which a failed request needs more
-# than a slow one needs its hedge.
+# Tokens that hedges must leave: a failed request needs its retry more than a
+# slow one needs its hedge.
 RETRY_RESERVE = 3.0
 
 
 class Budget:
-    """The bucket of one service on this node."""
+    """The retry budget of one service on this node."""
 
     __slots__ = ('firsts', 'refused', 'spent', 'tokens')
 
@@ -29,16 +30,16 @@
     def earn(self, percent: int) -> None:
         """Count a first attempt.
 
-        :param percent: extra attempts for a hundred first ones.
+        :param percent: further attempts allowed for a hundred first ones.
         """
         self.firsts += 1
         self.tokens = min(self.tokens + percent / 100, CAPACITY)
 
     def spend(self, kept: float = 0.0) -> bool:
-        """Take a token for one more attempt.
+        """Take a token for a further attempt.
 
-        :param kept: tokens that must be left.
-        :return: whether there was one.
+        :param kept: tokens that must remain.
+        :return: whether a token was available.
         """
         if self.tokens < 1.0 + kept:
             self.refused += 1
--- a/carawaystair/request/call.py
+++ b/carawaystair/request/call.py
@@ -1,4 +1,4 @@
-"""What a caller asks for: one request, read and checked."""
+"""A caller's request after it was read and validated."""
 
 import typing
 
@@ -9,22 +9,23 @@
 class Call(typing.NamedTuple):
     """One request of a caller, ready to be sent.
 
-    :param id: names the request on every attempt and in the time line.
+    :param id: id of the request, the same on every attempt and in the time
+        line.
     :param match: its route and service.
     :param customer: the customer as the caller named it, or empty.
     :param charged: the customer that admission charges it to.
-    :param deadline: monotonic time by which the answer is owed.
-    :param idempotent: whether it may be run twice.
+    :param deadline: monotonic time by which it must be answered.
+    :param idempotent: whether it may be run more than once.
     :param key: its idempotency key, or empty.
     :param method: its method.
     :param path: path and query.
-    :param head: request line and headers for the upstream, but for those
-        that change with every attempt.
-    :param body: its body; None while it is not held here.
-    :param stream: where a body that is not held is read from.
-    :param length: length of that body, None when it comes in chunks.
-    :param body_prefix: the part of such a body that was read already.
-    :param digest: names what it asks for, see ``digests``.
+    :param head: request line and headers for the upstream, without those
+        that differ between attempts.
+    :param body: the whole body; None when it is streamed.
+    :param stream: the reader of a streamed body.
+    :param length: bytes of a streamed body, None when it is chunked.
+    :param body_prefix: the part of a streamed body that was already read.
+    :param digest: digest of its content, see ``digests``.
     """
 
     id: str
@@ -50,5 +51,5 @@
 
     @property
     def bulk(self) -> bool:
-        """Tell whether the route carries long transfers."""
+        """Return whether the route carries long transfers."""
         return self.match.route.kind == manifest.BULK
--- a/carawaystair/request/connections.py
+++ b/carawaystair/request/connections.py
@@ -1,8 +1,9 @@
-"""Connections to upstreams, one request at a time on each.
+"""Pools of connections to upstreams, with one request at a time on each.
 
-A connection is reused only after its last answer was read to the exact end.
-What arrives on an idle connection, or after an answer, belongs to nobody:
-such a connection is closed, so that a late answer can't reach another caller.
+A connection is reused only after its last answer was read to its exact end.
+Bytes that arrive on an idle connection, or after an answer, belong to no
+request: such a connection is closed, so that a late answer can't reach
+another caller.
 """
 
 import asyncio
@@ -13,14 +14,14 @@
 from carawaystair.request import http_client
 from carawaystair.request import target as targets
 
-# Opening a connection takes about a network round trip; a host that does not
-# answer by then is treated as down.
+# A host that has not accepted a connection by then counts as down; it takes
+# about one network round trip.
 CONNECT_TIMEOUT_S = 0.25
-# Idle connections are closed after so long: what stands between the two
-# ends forgets connections, too.
+# Idle connections are closed after this time, since middleboxes drop the
+# state of idle connections.
 MAX_IDLE_S = 30.0
-# A request that may not run twice uses only connections that carried an
-# answer within this time, or new ones.
+# A request that may not run twice uses only new connections, or those that
+# carried an answer within this time.
 RECENT_USE_S = 1.0
 MAX_IDLE_CONNECTIONS = 16
 SWEEP_INTERVAL_S = 1.0
@@ -47,17 +48,17 @@
         self.opened_at = now
         self.last_used = now
         self.uses = 0
-        # The attempt whose answer comes next, None while idle.
+        # The attempt that waits for an answer, None while idle.
         self.owner: typing.Any = None
 
 
 def acquire(
     target: targets.Target, max_idle_s: float, now: float
 ) -> Connection | None:
-    """Take an idle connection that was last_used within ``max_idle_s``.
+    """Return an idle connection that was used within ``max_idle_s``, if any.
 
-    None is taken while one of them is doubted to be lost: the others may
-    have been lost with it.
+    While a connection to the upstream is suspected to be lost, none is
+    returned: the others may have been lost with it.
     """
     idle = target.idle_connections
     if target.suspected is not None:
@@ -74,19 +75,19 @@
 
 
 async def connect(
-    target: targets.Target, until: float, patience_s: float = CONNECT_TIMEOUT_S
+    target: targets.Target, until: float, timeout_s: float = CONNECT_TIMEOUT_S
 ) -> Connection:
     """Open a new connection.
 
     :param until: monotonic time at which to give up.
-    :param patience_s: how long it may take, seconds.
+    :param timeout_s: how long it may take, seconds.
     :raises OSError: when it cannot be opened_at.
-    :raises TimeoutError: when nobody answers.
+    :raises TimeoutError: when the upstream does not answer in time.
     """
     loop = asyncio.get_running_loop()
     ip, _colon, port = target.upstream.address.rpartition(':')
     factory = functools.partial(http_client.ClientProtocol, loop)
-    async with asyncio.timeout_at(min(until, loop.time() + patience_s)):
+    async with asyncio.timeout_at(min(until, loop.time() + timeout_s)):
         _transport, proto = await loop.create_connection(
             factory, ip.strip('[]'), int(port)
         )
@@ -94,7 +95,7 @@
 
 
 def release(connection: Connection, now: float) -> None:
-    """Keep a connection for the next request, or close it."""
+    """Return a connection to the pool, or close it if it can't be reused."""
     target = connection.target
     connection.owner = None
     connection.last_used = now
@@ -110,7 +111,7 @@
 
 
 def close_stale(target: targets.Target, now: float) -> None:
-    """Close connections that have been idle too long or have ended."""
+    """Close idle connections that are too old or can't be reused."""
     kept = [
         connection
         for connection in target.idle_connections
@@ -131,25 +132,26 @@
 
 
 class _Discard(asyncio.Protocol):
-    """Reads to the end of a connection and throws all of it away."""
+    """Discards everything that arrives, until the connection ends."""
 
     def __init__(self, ended: asyncio.Future) -> None:
         self.ended = ended
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that the other side has let go."""
+        """Signal the end of the connection."""
         if not self.ended.done():
             self.ended.set_result(None)
 
 
 def half_close(connection: Connection) -> asyncio.Future | None:
-    """Shut our end of a connection in use, and read the rest unseen.
+    """Close our side of a connection in use, and discard what still arrives.
 
-    A plain close would not do: with bytes unread, the system makes a reset
-    of it, which looks like an accident and not like somebody's leaving.
+    Closing both sides with unread bytes would make the system send a reset,
+    which looks like a failure and not like a caller that leaves.
 
-    :return: done once the other end is shut; None when that is so already.
-        Whoever does not wait for it for ever aborts the transport.
+    :return: a future that is done once the other side is closed, too; None
+        when the connection is closed already.  A caller that stops waiting
+        for the future must abort the transport.
     """
     transport = connection.proto.transport
     if transport is None or transport.is_closing():
@@ -160,20 +162,20 @@
         transport.resume_reading()
         transport.write_eof()
     except (OSError, RuntimeError):
-        # The connection ended meanwhile.
+        # The connection has ended in the meantime.
         transport.abort()
     return ended
 
 
 async def cancel(connection: Connection, until: float) -> None:
-    """Cancel what runs on a connection and wait until that is known.
+    """Cancel the request on a connection and wait until it has stopped.
 
-    Our end is shut for sending, which the upstream reads as the caller's
-    leaving.  Its own end comes when it has stopped working for us, be it by
-    cancellation or by finishing; only then is its slot free again.
+    Our side is closed for sending, by which the upstream sees that the
+    caller has left.  The upstream closes its side when it has stopped, by
+    cancelling or by finishing; only then is its slot free again.
 
-    :param until: monotonic time at which the upstream's slot counts as free
-        whatever happens, such as the deadline it was told.
+    :param until: monotonic time at which the slot counts as free in any
+        case, such as the deadline that was sent to the upstream.
     """
     transport = connection.proto.transport
     ended = half_close(connection)
--- a/carawaystair/request/digests.py
+++ b/carawaystair/request/digests.py
@@ -1,9 +1,9 @@
-"""Names what a request asks for, whatever attempt it comes with.
+"""Digests of requests, which identify repeats of the same request.
 
-Callers give each attempt an id of its own.  Two attempts with one digest have
-the same method, host, path, credentials and body, so an upstream that fails
-because of what it was asked fails for both.  A body that is too long to be
-held counts by its length and its first bytes.
+Callers give each repeat of a request a new id.  Requests with the same digest
+have the same method, host, path, credentials and body, so one that crashes an
+upstream by its content does so on every repeat.  Of a body that is too long
+to be buffered, the length and the first bytes are included.
 """
 
 import base64
@@ -12,15 +12,15 @@
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
 
-# Two different requests share a digest once in 2**96 cases.
+# Two different requests have the same digest with probability 2**-96.
 DIGEST_BYTES = 12
 
 
 def with_digest(call: calls.Call, host: str, credentials: str) -> calls.Call:
-    """Return a request with its digest.
+    """Return a request with its digest filled in.
 
-    :param host: the host that it names.
-    :param credentials: who sent it, as it says itself.
+    :param host: the host that it is addressed to.
+    :param credentials: its ``Authorization`` header, or empty.
     """
     body, length = call.body, call.length
     if body is None:
--- a/carawaystair/request/errors.py
+++ b/carawaystair/request/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a caller's bytes."""
+"""Errors in the bytes that a caller sends."""
 
 from aiohttp import http_exceptions
 
@@ -6,13 +6,13 @@
 
 
 class BodyError(Exception):
-    """No more of a request's body will come."""
+    """Raised to readers of a request body that will not be completed."""
 
 
 class Malformed(Exception):
-    """Bytes that are no request.
+    """Received bytes that are not a valid request.
 
-    :param error: what aiohttp's parser says.
+    :param error: the error of aiohttp's parser.
     """
 
     def __init__(self, error: Exception) -> None:
--- a/carawaystair/request/exchange.py
+++ b/carawaystair/request/exchange.py
@@ -1,4 +1,4 @@
-"""What goes back to the caller of one request, written exactly once."""
+"""The answer to the caller of one request, which is written exactly once."""
 
 import asyncio
 import functools
@@ -13,7 +13,7 @@
 from carawaystair.request import headers
 from carawaystair.request import http_server
 
-# A caller that takes no bytes for so long has gone, seconds.
+# A caller that reads nothing for this time counts as gone.
 CALLER_STALL_TIMEOUT_S = 30.0
 MAX_PHRASE_LENGTH = 64
 CLOSE_HEADER = b'\r\nConnection: close\r\n\r\n'
@@ -21,7 +21,7 @@
 
 
 class Problem(typing.NamedTuple):
-    """The JSON body of an answer that is this node's own."""
+    """The JSON body of an error answer of this node."""
 
     code: str
     name: str
@@ -43,13 +43,13 @@
         self.request = request
         self.id = id
         self.keep_alive = request.keep_alive
-        # What the caller was told, None so far.
+        # The outcome that was sent to the caller, None before that.
         self.outcome: str | None = None
 
     def write_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> None:
-        """Write an upstream's whole answer.
+        """Write a complete answer of an upstream.
 
         :param extra: header lines to add.
         """
@@ -58,7 +58,7 @@
     def encode_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> bytes:
-        """Return the bytes of an upstream's whole answer.
+        """Return the bytes of a complete answer of an upstream.
 
         :param extra: header lines to add.
         """
@@ -79,9 +79,9 @@
         length: int | None,
         extra: bytes = b'',
     ) -> None:
-        """Write the head of a long answer.
+        """Write the head of an answer whose body is streamed.
 
-        :param length: bytes of its body, None when they are not known.
+        :param length: bytes of its body, None when unknown.
         :param extra: header lines to add.
         """
         if length is not None:
@@ -103,9 +103,9 @@
         retry_after_s: float = 1.0,
         status: int = 0,
     ) -> None:
-        """Write an answer of this node's own.
+        """Write an error answer of this node.
 
-        :param status: its status; 0 for that of the code.
+        :param status: the status code; 0 for that of the result code.
         """
         answer = error_answer(code, detail, self.id, retry_after_s, status)
         framing = b'Content-Length: %d\r\n' % len(answer.body)
@@ -121,11 +121,11 @@
         code: codes.Code,
         framing: bytes,
     ) -> bytes:
-        """Return the head of the answer, and keep its outcome."""
+        """Return the head of the answer, and remember its outcome."""
         invariants.check(invariants.ONE_OUTCOME, self.outcome is None, self.id)
         self.outcome = outcome
         if not self.request.content.is_eof():
-            # What is left of its body must not be read as a request.
+            # The rest of its body must not be parsed as a request.
             self.keep_alive = False
         return b''.join(
             (
@@ -139,45 +139,52 @@
         )
 
     def write(self, data: bytes) -> None:
-        """Write to the caller; raises ``ConnectionError`` when it is gone."""
+        """Write to the caller.
+
+        :raises ConnectionError: when the caller has left.
+        """
         self.request.write(data)
 
     def send_continue(self) -> None:
-        """Tell a caller that waits for it to send its body."""
+        """Send ``100 Continue`` to a caller that waits for it."""
         self.write(CONTINUE)
 
     def abort(self) -> None:
-        """Break the caller's connection, so that it sees a broken answer."""
+        """Abort the caller's connection, so that its answer is not whole."""
         transport = self.request.connection.transport
         if transport is not None:
             transport.abort()
 
     async def wait_drained(self) -> None:
-        """Wait until the caller has taken most of what was written.
+        """Wait until the caller has read most of what was written.
 
-        :raises ConnectionError: when it takes nothing for long, too.
+        :raises ConnectionError: when it has left, or reads nothing for
+            ``CALLER_STALL_TIMEOUT_S``.
         """
-        held = self.request.unsent is not None
-        if held or not self.request.connection.writing_paused:
+        buffered = self.request.unsent is not None
+        if buffered or not self.request.connection.writing_paused:
             return
         try:
             async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
                 await self.request.writer.drain()
         except TimeoutError:
             self.abort()
-            raise ConnectionAbortedError('the caller stalls') from None
+            raise ConnectionAbortedError('caller stopped reading') from None
 
 
 @functools.lru_cache(256)
 def status_line(status: int, reason: str) -> bytes:
-    """Return the first line of an answer."""
+    """Return the status line of an answer."""
     line = 'HTTP/1.1 %d %s\r\n' % (status, reason[:MAX_PHRASE_LENGTH])
     return line.encode('utf-8', 'surrogateescape')
 
 
 @functools.lru_cache(256)
 def outcome_headers(outcome: str, code: codes.Code) -> bytes:
-    """Return the headers that tell what came of a request."""
+    """Return the headers that carry the outcome, code and request id.
+
+    The id itself is to be appended.
+    """
     lines = '%s: %s\r\n%s: %s\r\n%s: ' % (
         headers.OUTCOME,
         outcome,
@@ -195,11 +202,11 @@
     retry_after_s: float,
     status: int = 0,
 ) -> answers.Answer:
-    """Return an answer of this node's own.
+    """Return an error answer of this node.
 
-    :param retry_after_s: whole seconds, or a fraction where callers read
+    :param retry_after_s: whole seconds, or a fraction if callers accept
         one.
-    :param status: its status; 0 for that of the code.
+    :param status: the status code; 0 for that of the result code.
     """
     status = status or code.status
     problem = Problem(code.label, code.name, code.text, detail, id)
@@ -213,7 +220,7 @@
 def encode_error(
     code: codes.Code, outcome: str, detail: str, id: str
 ) -> bytes:
-    """Return the last answer of a connection, about no request."""
+    """Return the bytes of an error answer that closes a connection."""
     answer = error_answer(code, detail, id, 1.0)
     return b''.join(
         (
@@ -229,5 +236,5 @@
 
 
 def reason_phrase(status: int) -> str:
-    """Return the phrase that goes with a status."""
+    """Return the reason phrase of a status."""
     return http.HTTPStatus(status).phrase
--- a/carawaystair/request/handler.py
+++ b/carawaystair/request/handler.py
@@ -1,4 +1,4 @@
-"""A caller's request, from its head to the last byte of its answer."""
+"""Handles callers' requests on nodes that send to upstreams directly."""
 
 import typing
 
@@ -24,17 +24,19 @@
 
 
 class Handler(base_handler.BaseHandler):
-    """Sends requests to upstreams; one for each node.
+    """Handles requests by sending them to upstreams; one for each node.
 
     :param host: the host of the node.
-    :param prefix: begins the ids of requests, other at every start.
-    :param drain_s: time that a stop gives to requests in flight; none may
-        have more, or a stop would cut it off.
+    :param prefix: prefix of request ids, different after every start.
+    :param drain_s: time that a stop waits for requests in flight, seconds;
+        it bounds their deadlines, since a stop would cut off longer ones.
     :param admission: decides when a request may start.
-    :param reservations: holds idempotency keys.
+    :param reservations: reserves idempotency keys.
     :param routing: returns the configuration in force.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while none is.
     :param sender: sends to upstreams.
-    :param meters: counts what callers are told.
+    :param meters: counts requests by outcome.
     """
 
     def __init__(
@@ -64,13 +66,13 @@
         if routing is None or routing.version == rows.NONE:
             raise validation.Refused(codes.NOT_READY)
         now = clock.now()
-        place = validation.read_target(request)
-        match = validation.match_route(routing, place)
+        target = validation.read_target(request)
+        match = validation.match_route(routing, target)
         if match is None or match.service is None:
             raise self._no_route()
         call = validation.read_call(
             request,
-            place,
+            target,
             match,
             routing.customer,
             exchange.id,
@@ -85,24 +87,24 @@
         if length != 0 or 'Expect' in request.headers:
             call = await self._read_body(request, call, exchange, length)
         credentials = request.headers.get('Authorization', '')
-        call = digests.with_digest(call, place.host, credentials)
+        call = digests.with_digest(call, target.host, credentials)
         if call.key:
-            await self._keyed(call, exchange)
+            await self._answer_keyed(call, exchange)
         else:
-            await self._plain(call, exchange)
+            await self._answer_unkeyed(call, exchange)
         self.meters.record_complete(clock.now() - now)
 
     # Sending
 
-    async def _plain(
+    async def _answer_unkeyed(
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
-        """Answer a request without a key."""
+        """Answer a request without an idempotency key."""
         permit = await self._admit(call)
         started = clock.now()
         try:
             answer = await self.sender.send(call, permit)
-            await self._pass_on(call, answer, exchange, permit)
+            await self._forward(call, answer, exchange, permit)
             permit.record_outcome(
                 attempt_tracker.outcome_of(answer), clock.now() - started
             )
@@ -112,15 +114,15 @@
         finally:
             permit.release()
 
-    async def _keyed(
+    async def _answer_keyed(
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
-        """Answer a request with a key."""
+        """Answer a request with an idempotency key."""
         try:
             answer = await self.keyed.answer(call)
         finally:
             self.keyed_bodies.release(call.body)
-        await self._pass_on(call, answer, exchange, None)
+        await self._forward(call, answer, exchange, None)
 
     async def _send_keyed(self, call: calls.Call) -> answers.Answer:
         permit = await self._admit(call)
@@ -138,7 +140,10 @@
             permit.release()
 
     async def _admit(self, call: calls.Call) -> shared_permits.SharedPermit:
-        """Wait until the request may start."""
+        """Wait for a permit from admission.
+
+        :raises validation.Refused: when the request may not start.
+        """
         quarantine = self.sender.quarantine
         if not quarantine.may_begin(call.digest):
             raise validation.crash_refusal(quarantine.standing(call.digest))
@@ -159,21 +164,19 @@
             )
         return shared_permits.SharedPermit(result.ok, waited=True)
 
-    async def _pass_on(
+    async def _forward(
         self,
         call: calls.Call,
         answer: answers.Answer,
         exchange: exchanges.Exchange,
         permit: shared_permits.SharedPermit | None,
     ) -> None:
-        """Give the caller its answer."""
+        """Write the answer to the caller."""
         if answer.rest is None:
             exchange.write_answer(answer, codes.OK)
             await exchange.wait_drained()
             return
-        passing = transfer.Transfer(
-            self.sender, call, answer, exchange, permit
-        )
-        if not await passing.run():
+        stream = transfer.Transfer(self.sender, call, answer, exchange, permit)
+        if not await stream.run():
             exchange.keep_alive = False
-            self.meters.record_broken(call.id, 'The answer broke off.')
+            self.meters.record_broken(call.id, 'The answer was cut off.')
--- a/carawaystair/request/headers.py
+++ b/carawaystair/request/headers.py
@@ -1,7 +1,7 @@
-"""Which headers travel, in both directions, as raw bytes.
+"""Forwarding of HTTP headers, in both directions, as raw bytes.
 
-Headers are passed on as the bytes that arrived, so that nothing is decoded
-and encoded again on the path of a good request.
+Headers are forwarded as the bytes that arrived, which saves decoding and
+encoding them for every request.
 """
 
 import typing
@@ -14,7 +14,7 @@
 IDEMPOTENCY_KEY = 'Idempotency-Key'
 FLEET_PREFIX = b'caraway-'
 
-# RFC 9110 7.6.1: these concern one connection and end at each hop.
+# Headers that apply to one connection only (RFC 9110 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -28,25 +28,24 @@
         b'upgrade',
     )
 )
-# This node frames bodies anew and answers expectations itself.
+# This node sets the framing of bodies and answers expectations itself.
 REFRAMED = HOP_BY_HOP | {b'content-length', b'expect'}
-# Names in Connection that say nothing about other headers.
+# Options in Connection that don't name other headers.
 PERSISTENCE = frozenset((b'close', b'keep-alive'))
-# Longer names are not remembered: a caller could fill memory with them.
+# Bounds of the cache below, which a caller could otherwise fill with names.
 MAX_CACHED_LENGTH = 48
 MAX_CACHED_NAMES = 1024
 
 Raw = typing.Sequence[tuple[bytes, bytes]]
 
-
-# What was found out about names, so that each is looked at once.
+# Results of is_forwarded, by name.
 _FORWARDED: dict[bytes, bool] = {}
 
 
 def is_forwarded(name: bytes) -> bool:
-    """Tell whether a header goes on to the other side.
+    """Return whether a header is forwarded to the other side.
 
-    The fleet's own headers do not: nobody outside may speak for it.
+    The fleet's own headers are not, so that nobody outside can forge them.
     """
     lower = name.lower()
     found = lower not in REFRAMED and not lower.startswith(FLEET_PREFIX)
@@ -56,13 +55,13 @@
 
 
 def connection_options(connection: str) -> frozenset[bytes]:
-    """Return the header names that a ``Connection`` value lists."""
+    """Return the header names listed in a ``Connection`` value."""
     names = connection.encode('utf-8', 'surrogateescape').lower().split(b',')
     return frozenset(name.strip() for name in names) - PERSISTENCE
 
 
 def forwarded_lines(raw: Raw, connection: str | None) -> bytes:
-    """Return the lines of the headers that go on, each with its line end.
+    """Return the lines of the headers to forward, each with its line end.
 
     :param raw: names and values as they arrived.
     :param connection: all values of ``Connection``, joined by commas.
@@ -73,10 +72,10 @@
     known = _FORWARDED
     kept = []
     for pair in raw:
-        goes = known.get(pair[0])
-        if goes is None:
-            goes = is_forwarded(pair[0])
-        if goes:
+        forwarded = known.get(pair[0])
+        if forwarded is None:
+            forwarded = is_forwarded(pair[0])
+        if forwarded:
             kept.append(b'%b: %b\r\n' % pair)
     return b''.join(kept)
 
@@ -92,10 +91,10 @@
 
 
 def request_head(method: str, path: str, given, raw: Raw) -> bytes:
-    """Return the request line and the lines of the headers that go on.
+    """Return the request line and the lines of the headers to forward.
 
     :param given: the headers as they arrived, for ``Connection``.
-    :param raw: those of them that may go on.
+    :param raw: those of them that may be forwarded.
     """
     first = '%s %s HTTP/1.1\r\n' % (method, path)
     return first.encode() + forwarded_lines(raw, connection_value(given))
--- a/carawaystair/request/http_client.py
+++ b/carawaystair/request/http_client.py
@@ -1,8 +1,8 @@
-"""The client's side of one HTTP connection, over aiohttp's parser.
+"""The client side of an HTTP connection, over aiohttp's parser.
 
-Only what a proxy needs, and stricter than a client library has to be: an
-answer is whole only when its parser says so, what arrives unasked spoils the
-connection, and a malformed body ends whoever reads it.
+It has only what a proxy needs and is stricter than a client library: an
+answer is complete only when the parser says so, unexpected data makes the
+connection unusable, and a malformed body raises an error in its reader.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 # Bounds of an upstream's answer head.
 MAX_LINE_BYTES = 16 * 1024
 MAX_HEADERS = 128
-# A body that nobody reads makes the connection stop at twice as much.
+# Reading pauses when twice this much of a body is buffered.
 READ_BUFFER_BYTES = 64 * 1024
 
 Head = tuple[http.RawResponseMessage, streams.StreamReader]
@@ -31,25 +31,26 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        # Heads of answers that nobody has taken yet.
+        # Heads of answers that have not been returned yet.
         self.heads: collections.deque[Head] = collections.deque()
         self.payload = streams.EMPTY_PAYLOAD
-        # Why no more will come.
+        # The error that ended the connection.
         self.error: BaseException | None = None
-        # Whether a request is on its way.
+        # Whether a request was sent whose answer has not been read.
         self.awaiting_answer = False
-        # Whether the answer ends with the connection.
+        # Whether the end of the connection ends the answer.
         self.ends_with_close = False
-        # Whether another request may follow.
+        # Whether the upstream allows another request.
         self.keep_alive = True
         self.head_waiter: asyncio.Future | None = None
 
     # Requests
 
     def expect(self, bodiless: bool) -> None:
-        """Get ready for the answer to a request that will be sent.
+        """Prepare for the answer to a request that is about to be sent.
 
-        :param bodiless: whether the answer has no body whatever it says.
+        :param bodiless: whether the answer has no body, whatever its headers
+            say.
         """
         self.awaiting_answer = True
         self._parser = http.HttpResponseParser(
@@ -67,10 +68,10 @@
 
     @property
     def reusable(self) -> bool:
-        """Tell whether the last answer was read to its exact end.
+        """Return whether another request may be sent on the connection.
 
-        Then, and only then, what comes next can only be the answer to what
-        is sent next.
+        That is safe only after the last answer was read to its exact end:
+        then, the next answer belongs to the next request.
         """
         return (
             self.keep_alive
@@ -81,19 +82,19 @@
         )
 
     def close(self) -> None:
-        """Close the connection in the normal way."""
+        """Close the connection after writing buffered data."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def fail(self, error: BaseException) -> None:
-        """Break the connection, and tell so whoever reads from it.
+        """Abort the connection and raise an error in its readers.
 
-        After a plain abort an answer that has no length would look whole.
+        After a plain abort, an answer without a length would look complete.
         """
         self._fail(error)
 
@@ -103,8 +104,8 @@
         """Wait for the head of an answer.
 
         :param until: monotonic time at which to give up.
-        :return: the head and its body.
-        :raises TimeoutError: when nothing came by then.
+        :return: the head and the reader of the body.
+        :raises TimeoutError: when it has not arrived by then.
         """
         if not self.heads and self.error is None:
             await self._wait(until)
@@ -113,10 +114,10 @@
         raise self.error
 
     async def _wait(self, until: float) -> None:
-        """Wait for a head, with one timer a connection.
+        """Wait for a head, using the connection's timer.
 
-        A timer for every wait would cost more than the wait itself; this
-        one is moved on when it rings too early.
+        Creating a timer for every wait would cost more than the wait
+        itself.  This one is set again when it fires too early.
         """
         ready = self.head_waiter = self.loop.create_future()
         self._set_timer(until)
@@ -141,13 +142,17 @@
         if ready is not None and not ready.done():
             ready.set_result(came)
 
-    # What asyncio calls
+    # Callbacks from asyncio
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of an answer."""
+        """Parse received data."""
         if not self.awaiting_answer:
-            # Nobody asked: the next caller would read it as its own.
-            self._fail(aiohttp.ClientConnectionError('bytes out of turn'))
+            # The data would be taken for the answer to the next request.
+            self._fail(
+                aiohttp.ClientConnectionError(
+                    'received data without a request'
+                )
+            )
             return
         try:
             messages, upgraded, _tail = self._parser.feed_data(data)
@@ -163,15 +168,17 @@
             )
             self.heads.append((message, payload))
         if upgraded:
-            self._fail(http.HttpProcessingError(message='another protocol'))
+            self._fail(
+                http.HttpProcessingError(message='unexpected protocol upgrade')
+            )
         elif messages:
             self._wake(True)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the connection.
+        """Handle the end of the connection.
 
-        A close may be the end of an answer without a length; a reset never
-        is, since what was lost with it is not known.
+        A close may end an answer without a length.  A reset never does,
+        since data may have been lost with it.
         """
         ended = exc is None and self.error is None
         if ended and self.ends_with_close and not self.payload.is_eof():
@@ -183,7 +190,7 @@
         self._end(exc or aiohttp.ServerDisconnectedError())
 
     def _fail(self, error: BaseException) -> None:
-        """End the connection for what came on it."""
+        """Abort the connection because of an error."""
         self._end(error)
         self.abort()
 
--- a/carawaystair/request/http_server.py
+++ b/carawaystair/request/http_server.py
@@ -1,8 +1,8 @@
-"""The server's side of one HTTP connection, over aiohttp's parser.
+"""The server side of an HTTP connection, over aiohttp's parser.
 
-One task serves one connection, request after request.  aiohttp's own server
-makes a task for every request, has no bound for a head that trickles in, and
-lets a reader of a malformed body wait for ever.
+One task serves a connection, request after request.  aiohttp's own server
+creates a task for every request, has no timeout for a head that arrives
+slowly, and lets the reader of a malformed body wait for ever.
 """
 
 import asyncio
@@ -16,35 +16,36 @@
 from carawaystair.request import errors
 from carawaystair.request import protocol
 
-# Bounds of a request head.  Within them the memory of a connection is
-# bounded, however slowly or oddly a caller sends.
+# Bounds of a request head, which bound the memory of a connection whatever a
+# caller sends.
 MAX_LINE_BYTES = 8 * 1024
 MAX_HEADERS = 100
-# A body that nobody reads makes the connection stop at twice as much.
+# Reading pauses when twice this much of a body is buffered.
 READ_BUFFER_BYTES = 64 * 1024
-# Requests that a caller may send pipelined of their answers; reading stops there.
+# Requests that a caller may send before earlier ones are answered; reading
+# pauses at this number.
 MAX_PIPELINED = 8
-# Answers that wait for those before them may take this much memory, bytes of
-# a connection; no further request runs pipelined then.
+# Memory on one connection for answers that wait for earlier ones.  While it is
+# full, no further pipelined request is started.
 MAX_BUFFERED_BYTES = 256 * 1024
-# An idle connection is closed after so long, seconds.
+# Time after which an idle connection is closed.
 IDLE_TIMEOUT_S = 75.0
-# A head that has begun must be here after so long; seconds.
+# Time in which a request head must arrive after its first byte.
 HEAD_TIMEOUT_S = 10.0
-# Ends a head.
 HEAD_END = b'\r\n\r\n'
-# What is left of a body that nobody wants is read for so long, so that the
-# caller gets to read its answer; seconds.
+# Time for reading the rest of an unused body before the connection is closed,
+# so that the caller can read its answer.
 LINGER_TIMEOUT_S = 2.0
 
 MESSAGE = http.RawRequestMessage
 
 
 class Bounds(typing.NamedTuple):
-    """What a caller may send, and how long it may take.
+    """Bounds on what a caller may send, and how long it may take.
 
-    :param line_bytes: bytes of one header line, or of the first line.
-    :param head_s: time for a head that has begun, seconds.
+    :param line_bytes: bytes of one header line, or of the request line.
+    :param head_s: time in which a head must arrive after its first byte,
+        seconds.
     :param idle_s: time after which an idle connection is closed, seconds.
     :param ack_timeout_s: time after which a connection whose sent data is
         not acknowledged counts as lost, seconds; 0 leaves that to the
@@ -61,11 +62,11 @@
 
 
 class Request:
-    """One request as it was read.
+    """One request on a connection.
 
     :param message: its head.
-    :param content: its body.
-    :param connection: the connection that it came on.
+    :param content: the reader of its body.
+    :param connection: the connection that it arrived on.
     :param arrived: monotonic time at which its head was read.
     """
 
@@ -101,17 +102,16 @@
         self.connection = connection
         self.arrived_at = arrived
         self.stream_writer: http.StreamWriter | None = None
-        # Bytes of its answer that wait for the answers before it; None once
-        # they may go out.
+        # Buffered parts of the answer while earlier requests on the
+        # connection are not answered; None once they may be written.
         self.unsent: list[bytes] | None = None
-        # Set while somebody waits for that.
+        # Set while a task waits for the earlier answers.
         self.turn_waiter: asyncio.Future | None = None
 
     def write(self, data: bytes) -> None:
-        """Write to the caller, or keep it until the answers before this one
-        have gone out.
+        """Write to the caller, or buffer until earlier answers are written.
 
-        :raises ConnectionResetError: when the caller has gone.
+        :raises ConnectionResetError: when the caller has left.
         """
         if self.unsent is None:
             self.connection.write(data)
@@ -119,22 +119,22 @@
             self.unsent.append(data)
 
     def release(self) -> None:
-        """Let the answer go out: those before it have."""
-        held, self.unsent = self.unsent, None
-        if held:
-            self.connection.write(b''.join(held))
+        """Write the buffered answer, after all earlier ones."""
+        buffered, self.unsent = self.unsent, None
+        if buffered:
+            self.connection.write(b''.join(buffered))
         if self.turn_waiter is not None:
             self.turn_waiter.set_result(None)
 
     async def wait_turn(self) -> None:
-        """Wait until the answers before this one have gone out."""
+        """Wait until the earlier answers were written."""
         if self.unsent is not None:
             self.turn_waiter = asyncio.get_running_loop().create_future()
             await self.turn_waiter
 
     @property
     def writer(self) -> http.StreamWriter:
-        """Return what writes a long answer."""
+        """Return the writer for an answer whose body is streamed."""
         if self.stream_writer is None:
             connection = self.connection
             self.stream_writer = http.StreamWriter(connection, connection.loop)
@@ -144,10 +144,10 @@
 def set_user_timeout(
     transport: asyncio.BaseTransport, ack_timeout_s: float
 ) -> None:
-    """Let a connection break when what was sent is not acknowledged.
+    """Abort a connection when sent data is not acknowledged in time.
 
-    Symptom without it: the other end has gone and its close was lost; what
-    was asked for on the connection is done minutes later for nobody.
+    Without it, when the peer has left and its close was lost, a request on
+    the connection may run minutes later although nobody waits for it.
     """
     raw = transport.get_extra_info('socket')
     if raw is not None:
@@ -163,7 +163,7 @@
 
 
 class PipelinedRequest(typing.NamedTuple):
-    """A request that runs before the answers in front of it are out.
+    """A request that runs before earlier ones are answered.
 
     :param request: the request.
     :param task: answers it; returns whether another one may follow.
@@ -178,11 +178,11 @@
 
     :param loop: the event loop.
     :param handle: answers a request; returns whether another may follow.
-    :param refuse: answers what is no request, see ``errors.Malformed``.
+    :param refuse: answers bytes that are not a valid request.
     :param connections: all connections of the listener.
-    :param bounds: what the caller may send.
-    :param may_pipeline: tells whether a request may run before those in
-        front of it are answered; None where none may.
+    :param bounds: bounds on what the caller may send.
+    :param may_pipeline: returns whether a request may run before earlier
+        ones on the connection are answered; None if none may.
     """
 
     def __init__(
@@ -210,26 +210,27 @@
         self.connections = connections
         self.bounds = bounds
         self.may_pipeline = may_pipeline
-        # Whether the connection broke, rather than being closed.
+        # Whether the connection broke instead of being closed.
         self.broken = False
-        # Whether the caller ended it, in whichever way.
+        # Whether the caller closed or broke the connection.
         self.closed_by_caller = False
-        # Requests that were read and not begun, and when that was.
+        # Requests that were read but not started, with their arrival times.
         self.queue: collections.deque = collections.deque()
-        # Whether one is being answered now, and those that run pipelined of it.
+        # Whether a request is being answered, and the later ones that run
+        # at the same time.
         self.answering = False
         self.pipelined: collections.deque[PipelinedRequest] = (
             collections.deque()
         )
         self.content = streams.EMPTY_PAYLOAD
-        # Why no further request can be read.
+        # The error after which no further request can be read.
         self.error: errors.Malformed | None = None
         # Set while the task waits for a request.
         self.waiter: asyncio.Future | None = None
         self.head_started = False
         self.task: asyncio.Task | None = None
 
-    # One task a connection, and one for each request that runs pipelined
+    # Tasks: one for the connection, and one for each pipelined request
 
     async def serve(self) -> None:
         """Answer the requests of this connection, one after another."""
@@ -244,12 +245,12 @@
                     self.refuse(self, self.error)
             await self._drain_body()
         except ConnectionError:
-            # The caller has gone.
+            # The caller has left.
             pass
         finally:
             if self.transport is not None:
                 self.transport.close()
-            # What stands behind the last answer counts as not read.
+            # Requests after the last answered one count as not read.
             for pipelined in self.pipelined:
                 pipelined.task.cancel()
 
@@ -262,8 +263,9 @@
             self.pipelined.popleft()
             self._start_pipelined()
             return keep_alive
-        # What came with the caller's close would run for nobody. The end of
-        # a stream is read one turn after the bytes before it.
+        # A request that arrived together with the caller's close must not
+        # run.  The end of a stream is read one iteration of the event loop
+        # after the bytes before it.
         await asyncio.sleep(0)
         if not self.open:
             return False
@@ -272,16 +274,16 @@
         return await self.handle(request)
 
     def _take_request(self) -> Request:
-        """Take the next request from the queue."""
+        """Remove the next request from the queue and return it."""
         message, self.content, arrived = self.queue.popleft()
         self._resume_parser()
         return Request(message, self.content, self, arrived)
 
     def _start_pipelined(self) -> None:
-        """Begin what may run before the requests in front are answered.
+        """Start the queued requests that may run concurrently.
 
-        One after the other, the last of a few requests that a caller sends
-        at once would wait for the work of all others.
+        Otherwise, the last of several requests that a caller sends at once
+        would wait until all others are answered.
         """
         if self.may_pipeline is None:
             return
@@ -297,12 +299,13 @@
             self._resume_parser()
 
     async def _handle_pipelined(self, request: Request) -> bool:
-        # As above, a caller's close is seen a turn later than its requests.
+        # As above, a caller's close is seen one iteration of the event loop
+        # later than its requests.
         await asyncio.sleep(0)
         return self.open and await self.handle(request)
 
     def _buffer_full(self) -> bool:
-        """Tell whether answers that wait take all the memory they may."""
+        """Return whether waiting answers use up ``MAX_BUFFERED_BYTES``."""
         held = sum(
             len(data)
             for pipelined in self.pipelined
@@ -311,7 +314,7 @@
         return held >= MAX_BUFFERED_BYTES
 
     async def _wait_request(self) -> bool:
-        """Wait for a request; tell whether there is one."""
+        """Wait for a request; return whether there is one."""
         if not self.queue and self.error is None:
             self.head_started = False
             self._set_timer(self.loop.time() + self.bounds.idle_s)
@@ -323,21 +326,21 @@
         return bool(self.queue)
 
     def _resume_parser(self) -> None:
-        """Let the parser go on when it stopped at too many requests."""
+        """Resume the parser if it paused at ``MAX_PIPELINED`` requests."""
         self._parser.message_consumed()
         if self.queue:
             return
-        # It may have stopped without reading being paused: behind a long
-        # body, one request less than the most stands in the queue then.
+        # It may have paused while reading was not paused: after a long body,
+        # the queue then has one request less than the maximum.
         self.data_received(b'')
         if self._buffer_paused and len(self.queue) < MAX_PIPELINED:
             self._resume_reading_for_buffer()
 
     async def _drain_body(self) -> None:
-        """Read what is left of a body before closing.
+        """Read the rest of a body before closing.
 
-        Closing with bytes unread makes the kernel reset the connection, and
-        the caller may lose the answer that tells it why.
+        Closing with unread bytes makes the kernel reset the connection, and
+        the caller may lose the answer that explains the close.
         """
         transport = self.transport
         if transport is None or self.content.is_eof():
@@ -351,22 +354,22 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether no request is being read or answered."""
+        """Return whether no request is being read or answered."""
         return self._awaiting_request() and not self.head_started
 
     def write(self, data: bytes) -> None:
-        """Write to whoever sent the request.
+        """Write to the caller.
 
-        :raises ConnectionResetError: when it has gone.
+        :raises ConnectionResetError: when the connection is closed.
         """
         if not self.open:
-            raise ConnectionResetError('the other side has gone')
+            raise ConnectionResetError('connection is closed')
         self.transport.write(data)
 
-    # What asyncio calls
+    # Callbacks from asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve."""
+        """Start to serve the connection."""
         super().connection_made(transport)
         if self.bounds.ack_timeout_s:
             set_user_timeout(transport, self.bounds.ack_timeout_s)
@@ -374,7 +377,7 @@
         self.task = self.loop.create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of requests."""
+        """Parse received data and queue the requests in it."""
         if self.error is not None:
             return
         messages = self._parse(data)
@@ -391,11 +394,11 @@
             self._set_timer(self.loop.time() + self.bounds.head_s)
 
     def _parse(self, data: bytes) -> list:
-        """Return the requests that bytes bring.
+        """Return the requests whose heads are completed by the data.
 
-        The parser gets a head at a time: it drops all that it found in a
-        piece when it meets an error there, and callers of good requests
-        would hear nothing but that of what stands behind them.
+        The parser gets one head at a time: at an error it discards all
+        requests in the same piece of data, so that valid requests before
+        the error would not be answered.
         """
         messages: list = []
         try:
@@ -410,52 +413,54 @@
                     break
         except Exception as error:
             if messages and not messages[-1][1].is_eof():
-                # The error is in its body: it is no request, either.
+                # The error is in the body of that request, which is invalid,
+                # too.
                 messages.pop()
             self._reject_input(errors.Malformed(error))
         return messages
 
     def eof_received(self) -> None:
-        """Take note of the caller's close; ours follows."""
+        """Note that the caller closed; asyncio then closes our side."""
         self.closed_by_caller = True
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Cancel what is being done for the caller."""
+        """Cancel the requests in progress on the connection."""
         super().connection_lost(exc)
         self.broken = exc is not None
         self.closed_by_caller = self.closed_by_caller or self.broken
         self.connections.discard(self)
         if self.timer is not None:
             self.timer.cancel()
-        self._end_bodies(errors.BodyError('the caller has gone'))
+        self._end_bodies(errors.BodyError('connection was closed'))
         if self.task is not None:
             self.task.cancel()
 
-    # What goes wrong
+    # Errors
 
     def _reject_input(self, error: errors.Malformed) -> None:
-        """Read no more: what follows can't be told apart."""
+        """Stop reading: no further request can be recognised."""
         self.error = error
         self._end_bodies(errors.BodyError(str(error)))
         self._wake()
 
     def _end_bodies(self, error: errors.BodyError) -> None:
-        """End whoever reads a body of which no more will come."""
+        """Raise an error in the readers of incomplete bodies."""
         contents = [content for _message, content, _at in self.queue]
         for content in (self.content, *contents):
             if not content.is_eof():
                 content.set_exception(error)
 
     def _awaiting_request(self) -> bool:
-        # The task stands at its wait for one more turn of the loop after a
-        # request was read; closed in that turn, its caller hears nothing.
+        # After a request was read, the task is still waiting for one more
+        # iteration of the event loop.  If the connection counted as idle
+        # then, it could be closed without an answer.
         return self.waiter is not None and not self.waiter.done()
 
     def _wake(self) -> None:
         if self._awaiting_request():
             self.waiter.set_result(None)
 
-    # Time
+    # Timer
 
     def _on_timer(self) -> None:
         self.timer = None
--- a/carawaystair/request/idempotency.py
+++ b/carawaystair/request/idempotency.py
@@ -1,8 +1,8 @@
-"""Requests with an idempotency key: at most one run for each key.
+"""Requests with an idempotency key, which run at most once for each key.
 
-The key is reserved before the first byte goes out.  It is given back only
-when the request provably was not run; when its end is not known, it stays
-reserved, and whoever repeats it is told so.
+The key is reserved before the first byte is sent.  It is released only when
+the request provably was not run.  When the outcome is unknown, the key stays
+reserved, and repeats of the request are refused with a code that says so.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 class KeyedRequests:
     """Runs keyed requests.
 
-    :param reservations: holds the keys.
-    :param run: sends a request, with a slot of its own.
-    :param spawn: runs something to its end even when the caller goes away.
-    :param abort: ends an attempt whose long answer nobody takes.
+    :param reservations: reserves the keys and stores the answers.
+    :param run: sends a request to an upstream; acquires its own permit.
+    :param spawn: runs a coroutine to its end even if the caller leaves.
+    :param abort: aborts an attempt whose long answer is not read.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
         self.abort = abort
 
     async def answer(self, call: calls.Call) -> answers.Answer:
-        """Return the answer to a keyed request, be it this run's or not.
+        """Return the answer to a keyed request, from this or an earlier run.
 
-        :raises answers.Failed: when there is none.
+        :raises answers.Failed: when there is no answer.
         :raises validation.Refused: when it was not run.
         """
         result = await self.reservations.reserve(
@@ -58,8 +58,9 @@
         reserved = result.ok
         if not reserved.granted:
             return decode_reserved(reserved)
-        # The caller may go away, and with it this task; what has been sent
-        # runs all the same, and its outcome must be stored for the repeat.
+        # If the caller leaves, this task is cancelled.  A request that has
+        # been sent runs nevertheless, and its outcome must be stored for a
+        # repeat.
         task = self.spawn(self._run_granted(call, reserved.token))
         try:
             return await asyncio.shield(task)
@@ -68,7 +69,7 @@
             raise
 
     def _discard_answer(self, task: asyncio.Task) -> None:
-        """End the long answer of a run whose caller has gone."""
+        """Abort the long answer of a run whose caller has left."""
         if task.cancelled() or task.exception() is not None:
             return
         if task.result().rest is not None:
@@ -86,7 +87,7 @@
             if not failed.sent:
                 await self.reservations.release(token)
             raise
-        # The caller need not wait until the replicas have it.
+        # The caller does not wait until the replicas have stored the answer.
         self.spawn(
             self.reservations.settle(
                 token, stored_answer.encode(answer), answer.status
@@ -98,7 +99,8 @@
 def decode_reserved(reserved: interfaces.Reserved) -> answers.Answer:
     """Return the stored answer of an earlier run.
 
-    :raises answers.Failed: when there is none, or none yet.
+    :raises answers.Failed: when the answer was not stored, or the earlier
+        run has not ended.
     """
     if reserved.status:
         raise answers.Failed(interfaces.CANCELLED, codes.KEY_ANSWER_GONE, True)
--- a/carawaystair/request/latencies.py
+++ b/carawaystair/request/latencies.py
@@ -1,9 +1,9 @@
-"""What answers usually take, for each route.
+"""Estimates of the latency of each route, which time its hedges.
 
-A histogram of a few buckets an octave, halved now and then, so that it
-follows a service that becomes slower or faster.  It says when an answer is
-later than most, which is when a hedge is worth its cost (Dean and Barroso,
-"The Tail at Scale", 2013).
+Latencies are counted in a logarithmic histogram whose counts are halved now
+and then, so that it follows a service that becomes slower or faster.  A hedge
+is worth its cost once an answer is later than a high quantile (Dean and
+Barroso, "The Tail at Scale", 2013).
 """
 
 import collections
@@ -14,21 +14,22 @@
 MIN_LATENCY_S = 0.0005
 OCTAVES = 18
 BUCKETS = BUCKETS_PER_OCTAVE * OCTAVES
+# Number of samples at which all counts are halved.
 MAX_SAMPLES = 1024
-# The estimate is taken anew after so many answers.
+# Number of samples after which the estimate is computed again.
 REFRESH_INTERVAL = 32
-# Fewer answers than this say nothing about the tail.
+# Number of samples below which the tail can't be estimated.
 MIN_SAMPLES = 20
 HEDGE_QUANTILE = 0.95
-# While too little is known, a hedge goes out after this share of the time
-# that the request has.
+# Without an estimate, a hedge is sent after this fraction of the time that is
+# left until the deadline.
 UNKNOWN_HEDGE_FRACTION = 0.25
 MIN_HEDGE_S = 0.002
 MAX_ROUTES = 4096
 
 
 class Latencies:
-    """Latencies of the good answers of one route."""
+    """Latencies of the successful answers of one route."""
 
     __slots__ = ('counts', 'estimate', 'pending', 'total')
 
@@ -39,7 +40,7 @@
         self.estimate = 0.0
 
     def add(self, latency_s: float) -> None:
-        """Count one good answer."""
+        """Count one successful answer."""
         octaves = math.log2(max(latency_s, MIN_LATENCY_S) / MIN_LATENCY_S)
         index = min(int(octaves * BUCKETS_PER_OCTAVE), BUCKETS - 1)
         self.counts[index] += 1
@@ -49,9 +50,9 @@
             self._refresh()
 
     def hedge_s(self, left_s: float) -> float:
-        """Return after how long a hedge goes out, in seconds.
+        """Return the delay after which a hedge is sent, in seconds.
 
-        :param left_s: the time that the request has.
+        :param left_s: time until the deadline of the request, seconds.
         """
         if self.total < MIN_SAMPLES:
             return left_s * UNKNOWN_HEDGE_FRACTION
@@ -70,7 +71,7 @@
 
 
 class RouteLatencies:
-    """The latencies of the routes in use, the least used forgotten."""
+    """The latencies of all routes; the oldest are dropped when full."""
 
     def __init__(self) -> None:
         self.table: collections.OrderedDict[str, Latencies] = (
--- a/carawaystair/request/listener.py
+++ b/carawaystair/request/listener.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections."""
+"""Accepts callers' connections."""
 
 import asyncio
 import typing
@@ -13,12 +13,12 @@
 
 
 class Listener:
-    """Makes the connections of callers.
+    """Accepts connections and keeps a set of the open ones.
 
     :param handle: answers requests.
-    :param bounds: returns what callers may send, asked for each connection.
-    :param may_pipeline: tells which requests may run before those in front
-        of them are answered; None where none may.
+    :param bounds: returns the bounds for a new connection.
+    :param may_pipeline: returns whether a request may run before earlier
+        ones on its connection are answered; None if none may.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
             self.server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is going on."""
+        """Close the connections without a request."""
         for connection in list(self.connections):
             if connection.idle and connection.transport is not None:
                 connection.transport.close()
 
     @property
     def has_unsent_data(self) -> bool:
-        """Tell whether answers are written that the system has not taken."""
+        """Return whether written data is still in buffers of this process."""
         return any(
             connection.transport is not None
             and connection.transport.get_write_buffer_size()
@@ -79,7 +79,7 @@
         )
 
     async def abort(self) -> None:
-        """Break all connections that are left."""
+        """Abort all open connections."""
         left = list(self.connections)
         for connection in left:
             if connection.transport is not None:
@@ -89,10 +89,10 @@
 
 
 class ConnectionRefuser(asyncio.Protocol):
-    """Refuses a connection that is one too many."""
+    """Refuses a connection beyond ``MAX_CONNECTIONS``."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Say so and close."""
+        """Write the error answer and close."""
         code = codes.TOO_MANY_CONNECTIONS
         transport.write(exchanges.encode_error(code, codes.NOT_RUN, '', '-'))
         transport.close()
@@ -101,7 +101,7 @@
 def refuse(
     connection: http_server.Connection, error: errors.Malformed
 ) -> None:
-    """Answer bytes that are no request."""
+    """Write an error answer to bytes that are not a valid request."""
     if connection.transport is not None:
         data = exchanges.encode_error(
             error.code, codes.NOT_RUN, error.text, '-'
--- a/carawaystair/request/locality.py
+++ b/carawaystair/request/locality.py
@@ -1,4 +1,4 @@
-"""How the work of one node is shared out over places and upstreams."""
+"""Distribution of a node's requests over upstreams, by locality."""
 
 import itertools
 import typing
@@ -6,28 +6,29 @@
 from carawaystair import interfaces
 from carawaystair.request import target as targets
 
-# A node sends to so many upstreams of a service at most, in its region and
-# again elsewhere.  With thousands of nodes before tens of thousands of
-# upstreams, a node that subset them all would find no connection open, and an
-# upstream would have one with every node.
+# A node uses at most this many upstreams of a service in its region, and as
+# many elsewhere.  With thousands of nodes and tens of thousands of upstreams,
+# a node that used them all would rarely find an open connection, and each
+# upstream would have a connection to every node.
 SUBSET_SIZE = 10
-# An upstream of this node's data centre gets so many times the work of one
-# elsewhere in the region.
+# Weight of upstreams in this node's data centre, relative to the others in the
+# region.
 LOCAL_WEIGHT_FACTOR = 2.0
-# Work leaves the region only when the region's usable shared_permits, times this
-# factor, fall below its known ones; and then only the fraction that it lacks.
+# Requests leave the region only when its usable slots, times this factor, are
+# fewer than its known slots; and then only the fraction that is lacking.
 REGION_CAPACITY_FACTOR = 1.4
+# Bounds the weights of remote upstreams when the region has almost no slots.
 MIN_LOCAL_FRACTION = 0.01
 
 Targets = typing.Sequence[targets.Target]
 
 
 class Subset(typing.NamedTuple):
-    """The upstreams in use, by place, and those in reserve.
+    """The upstreams that this node uses, and its reserve.
 
     :param local: those of this region.
-    :param remote: those of other regions, subset for what the region lacks.
-    :param reserve: usable ones beyond the subset, best first.
+    :param remote: those of other regions, used when the region lacks slots.
+    :param reserve: the other usable upstreams, in the order of preference.
     """
 
     local: Targets
@@ -35,14 +36,14 @@
     reserve: Targets
 
 
-def split_by_region(usable: Targets, here: typing.Container[str]) -> Subset:
-    """Split upstreams by place.
+def split_by_region(usable: Targets, region: typing.Container[str]) -> Subset:
+    """Select the upstreams that this node uses.
 
-    :param usable: in the order of preference of this node.
-    :param here: the data centres of this region.
+    :param usable: usable upstreams in this node's order of preference.
+    :param region: the data centres of this region.
     """
-    local = [t for t in usable if t.upstream.data_centre in here]
-    remote = [t for t in usable if t.upstream.data_centre not in here]
+    local = [t for t in usable if t.upstream.data_centre in region]
+    remote = [t for t in usable if t.upstream.data_centre not in region]
     return Subset(
         local[:SUBSET_SIZE],
         remote[:SUBSET_SIZE],
@@ -53,16 +54,17 @@
 def local_fraction(
     known: typing.Iterable[interfaces.Upstream],
     usable: Targets,
-    here: typing.Container[str],
+    region: typing.Container[str],
 ) -> float:
-    """Return the fraction of the work that stays in this region.
+    """Return the fraction of the requests that stays in this region.
 
     :param known: all upstreams of the service.
-    :param usable: those that may get work.
+    :param usable: those that may get requests.
+    :param region: the data centres of this region.
     """
-    total = sum(u.slots for u in known if u.data_centre in here)
+    total = sum(u.slots for u in known if u.data_centre in region)
     left = sum(
-        t.upstream.slots for t in usable if t.upstream.data_centre in here
+        t.upstream.slots for t in usable if t.upstream.data_centre in region
     )
     return min(left * REGION_CAPACITY_FACTOR / total, 1.0) if total else 0.0
 
@@ -70,16 +72,20 @@
 def weighted_candidates(
     subset: Subset, fraction: float, data_centre: str, now: float
 ) -> targets.Candidates:
-    """Return candidates with their shares of the work.
+    """Return candidates with their shares of the requests.
 
-    :param fraction: the fraction of the work that stays in the region.
-    :param data_centre: that of this node.
+    :param fraction: the fraction of the requests that stays in the region.
+    :param data_centre: the data centre of this node.
     """
-    local = [_weight(target, data_centre, now) for target in subset.local]
-    remote = [_weight(target, data_centre, now) for target in subset.remote]
+    local = [
+        _target_weight(target, data_centre, now) for target in subset.local
+    ]
+    remote = [
+        _target_weight(target, data_centre, now) for target in subset.remote
+    ]
     if not subset.remote or (subset.local and fraction >= 1.0):
         return _accumulate(subset.local, local)
-    # So that the shares of the remote ones sum up to what the region lacks.
+    # The shares of the remote ones add up to the fraction that is lacking.
     lacking = (1.0 - fraction) / max(fraction, MIN_LOCAL_FRACTION)
     factor = sum(local) * lacking / sum(remote) if local else 1.0
     remote = [share * factor for share in remote]
@@ -94,7 +100,9 @@
     )
 
 
-def _weight(target: targets.Target, data_centre: str, now: float) -> float:
+def _target_weight(
+    target: targets.Target, data_centre: str, now: float
+) -> float:
     upstream = target.upstream
     local = upstream.data_centre == data_centre
     factor = LOCAL_WEIGHT_FACTOR if local else 1.0
@@ -108,8 +116,8 @@
 ) -> targets.Candidates:
     """Return the candidates that have had no attempt yet.
 
-    :param reserve: step in when all candidates have had one.
-    :param tried: ids of those that have.
+    :param reserve: used when all candidates have had one.
+    :param tried: ids of the upstreams that have had one.
     """
     subset, sums = candidates
     weights = (b - a for a, b in itertools.pairwise((0.0, *sums)))
--- a/carawaystair/request/meters.py
+++ b/carawaystair/request/meters.py
@@ -1,4 +1,4 @@
-"""Counts of what callers were told, for metrics and the time line."""
+"""Counts of requests by outcome, for metrics and the time line."""
 
 import collections
 import typing
@@ -8,18 +8,18 @@
 from carawaystair import metrics
 from carawaystair import timeline as timelines
 
-# Events about failed requests in any second at most: when everything fails,
-# the time line must still hold what led to it.
+# Events about failed requests per second, at most: when all requests fail,
+# the time line must still contain the events that led to it.
 EVENTS_PER_S = 10
-# Latencies are counted by steps of 10 us until somebody asks for them.
+# Latencies are counted in steps of 10 us before they enter the histogram.
 TICKS_PER_S = 100_000
 MAX_PENDING = 4096
 
 
 class Meters:
-    """The counts of one node.
+    """The request counts of one node.
 
-    :param timeline: takes events about requests that did not complete.
+    :param timeline: records events about requests that did not complete.
     """
 
     def __init__(self, timeline: timelines.Timeline) -> None:
@@ -27,15 +27,15 @@
         self.outcomes: collections.Counter = collections.Counter()
         self.latency = metrics.latency()
         self.completed = 0
-        # Latencies that are not in the histogram yet, which takes them
-        # several at a time: one at a time would cost a tenth of a request.
+        # Latencies that are not in the histogram yet, in ticks.  Recording
+        # each one there at once would cost a tenth of a request.
         self.pending: collections.Counter = collections.Counter()
         self.second = 0
         self.events = 0
         self.dropped_events = 0
 
     def record_complete(self, latency_s: float) -> None:
-        """Count a request that was answered whole."""
+        """Count a request that was answered completely."""
         self.completed += 1
         self.pending[int(latency_s * TICKS_PER_S)] += 1
         if len(self.pending) > MAX_PENDING:
@@ -58,12 +58,12 @@
         self.timeline.record('request-' + outcome, text, request=request)
 
     def record_broken(self, request: str, text: str) -> None:
-        """Count an answer that was broken in the middle."""
+        """Count an answer that broke off after it had begun."""
         self.outcomes['cut', codes.ANSWER_LOST.label] += 1
         self.timeline.record('answer-cut', text, request=request)
 
     def _flush(self) -> None:
-        """Move the recent latencies into the histogram."""
+        """Move the pending latencies into the histogram."""
         for ticks, count in self.pending.items():
             micros = int((ticks + 0.5) * 1e6 / TICKS_PER_S)
             self.latency.record_value(micros, count)
--- a/carawaystair/request/protocol.py
+++ b/carawaystair/request/protocol.py
@@ -1,4 +1,4 @@
-"""What both sides of an HTTP connection share, over aiohttp's protocol."""
+"""Base class of both sides of HTTP connections, over aiohttp's protocol."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 
 
 class Protocol(base_protocol.BaseProtocol):
-    """One connection with one timer.
+    """A connection with one timer.
 
-    One timer serves many requests: it is moved on when it rings early, so
-    that most requests neither make nor cancel one.
+    The timer is shared by many requests: it is set again when it fires too
+    early, so that most requests neither create nor cancel a timer.
 
     :param loop: the event loop.
-    :param parser: reads what comes; None until something is expected.
+    :param parser: parses received data; None until data is expected.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, parser=None) -> None:
@@ -23,21 +23,22 @@
 
     @property
     def open(self) -> bool:
-        """Tell whether something can be sent."""
+        """Return whether data can be sent."""
         transport = self.transport
         return transport is not None and not transport.is_closing()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Read on, if reading was paused.
+        """Resume reading if it was paused.
 
-        aiohttp calls this after every chunk; nothing was left unread then.
+        aiohttp calls this after every chunk, even if reading is not paused.
         """
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
     def _set_timer(self, until: float) -> None:
-        """Let :meth:`_on_timer` be called at a time of the loop's clock, or
-        before.
+        """Call :meth:`_on_timer` at a time of the loop's clock, or earlier.
+
+        :param until: the time.
         """
         self.timer_until = until
         timer = self.timer
@@ -48,5 +49,5 @@
         self.timer = self.loop.call_at(until, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Take note that the time has come, or will."""
+        """Handle the timer; it may have fired before ``timer_until``."""
         raise NotImplementedError
--- a/carawaystair/request/race.py
+++ b/carawaystair/request/race.py
@@ -1,9 +1,9 @@
-"""Several attempts of one request that may run twice.
+"""Concurrent attempts of one request that may run twice.
 
-The first attempt is late, broken or in doubt; a hedge or a retry goes to
-another upstream, within the budget of the service.  The first good answer
-wins, and the others run on for a while so that their upstreams' health is
-known, or are cancelled.
+When the first attempt is late, failed or on a suspect connection, a hedge or
+a retry is sent to another upstream, within the service's retry budget.  The
+first good answer wins.  The other attempts continue for a while as evidence
+of their upstreams' health, or are cancelled.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 from carawaystair.request import target as targets
 
 MAX_ATTEMPTS = 3
-# So many losing attempts at one upstream run on to show how it does; more
-# would keep its shared_permits busy for nothing.
+# Losing attempts at one upstream that may continue; more would occupy its
+# slots without giving more evidence.
 MAX_LINGERING = 2
-# The race itself cancellable_tasks the time; attempts stop a little later.
+# The race enforces the deadline itself; attempts time out a little later.
 DEADLINE_MARGIN_S = 0.001
 
 
@@ -33,9 +33,9 @@
 
     :param sender: starts and ends attempts.
     :param call: the request.
-    :param permit: the admission's permit of the request.
-    :param budget: pays for further attempts.
-    :param first: the upstream of the first attempt, when it was made.
+    :param permit: the permit of the request.
+    :param budget: the retry budget of the service.
+    :param first: the upstream of the first attempt, if it was made already.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
         self.tried = [first.upstream.id] if first is not None else []
         self.hedged = False
         self.suspect_raced = False
-        # What the caller gets when no attempt does better.
+        # Returned or raised if no attempt gets a good answer.
         self.failure: answers.Failed | None = None
         self.fallback: answers.Answer | None = None
         self.sent = False
         self.deadline_passed = False
 
-    # What has happened so far
+    # Earlier results
 
     def add_late(self, attempt: attempts.Attempt) -> None:
-        """Go on with an attempt whose answer is late."""
+        """Add a running attempt whose answer is late."""
         silent_connections.start_suspicion_timer(
             attempt, clock.now() - attempt.started
         )
@@ -72,13 +72,13 @@
         )
 
     def record_failure(self, failed: answers.Failed) -> None:
-        """Take note of an attempt that failed."""
+        """Record that an attempt failed."""
         self.sent = self.sent or failed.sent
         if self.failure is None or failed.sent:
             self.failure = failed
 
     def record_error(self, answer: answers.Answer) -> None:
-        """Take note of an answer that is a server error or a refusal."""
+        """Record an answer that is a server error or a refusal."""
         if answers.is_refusal(answer):
             self.record_failure(
                 answers.Failed(interfaces.SHED, codes.UPSTREAM_REFUSED, False)
@@ -90,7 +90,7 @@
     # Further attempts
 
     def launch(self, target: targets.Target, fresh: bool = False) -> None:
-        """Make one more attempt."""
+        """Start a further attempt."""
         attempt = self.sender.start(self.call, target, fresh=fresh)
         self.tried.append(target.upstream.id)
         self._run(attempt, self._send(attempt))
@@ -112,12 +112,13 @@
         return await attempt.answer(self.call.deadline + DEADLINE_MARGIN_S)
 
     def _launch_another(self, kept: float) -> bool:
-        """Launch an attempt at another upstream, if one may be made.
+        """Launch an attempt at another upstream, if that is allowed.
 
-        The same upstream is tried again, on a new connection, only when
-        there is no other.
+        If there is no other, the same upstream is tried again on a new
+        connection.
 
-        :param kept: tokens that must be left in the budget.
+        :param kept: tokens that must remain in the retry budget.
+        :return: whether an attempt was launched.
         """
         if len(self.tried) >= MAX_ATTEMPTS:
             return False
@@ -146,8 +147,8 @@
                     self._release_losers()
                     return answer
         finally:
-            # Whatever still runs here was cut short: the caller has gone,
-            # or the deadline has passed.
+            # Attempts that still run are cancelled: the caller has left, or
+            # the deadline has passed.
             for task, attempt in self.running.items():
                 task.cancel()
                 outcome = interfaces.CANCELLED
@@ -156,11 +157,12 @@
                 self.sender.cancel(attempt, outcome, self.permit)
 
     async def _step(self) -> answers.Answer | None:
-        """Wait for what happens next; return the answer that won."""
+        """Wait for the next event; return the winning answer, if any."""
         if self.running and not self.hedged:
             self.hedged = True
-            # Where requests wait for shared_permits, answers are late because all
-            # upstreams are busy, and a hedge makes others later still.
+            # If the request had to wait for its permit, answers are late
+            # because all upstreams are busy, and a hedge would only delay
+            # other requests.
             if len(self.running) == 1 and not self.permit.waited:
                 self._launch_another(budgets.RETRY_RESERVE)
         if not self.running and not self._retry():
@@ -177,13 +179,13 @@
         won = [self._finish(task) for task in done]
         good = [answer for answer in won if answer is not None]
         for answer in good[1:]:
-            # Two came in at the same moment; one is enough.
+            # Several answers arrived at the same moment; the first is used.
             if answer.rest is not None:
                 self.sender.abort(answer.rest)
         return good[0] if good else None
 
     def _race_suspected(self) -> None:
-        """Race a connection that is suspected with a new one."""
+        """Race a suspect connection against a new one."""
         suspected = (
             attempt.target
             for attempt in self.running.values()
@@ -196,7 +198,7 @@
         self.launch(target, fresh=True)
 
     def _next_wakeup(self) -> float:
-        """Return when a doubt may come up, or the deadline."""
+        """Return when a connection may become suspect, or the deadline."""
         wakeups = [
             attempt.suspicion_timer.when() + silent_connections.CHECK_DELAY_S
             for attempt in self.running.values()
@@ -212,7 +214,7 @@
         return self._launch_another(0.0)
 
     def _finish(self, task: asyncio.Task) -> answers.Answer | None:
-        """Take note of an attempt that ended; return a good answer."""
+        """Record an attempt that ended; return its answer if it is good."""
         attempt = self.running.pop(task)
         error = task.exception()
         if isinstance(error, answers.Failed):
@@ -220,8 +222,8 @@
             self.record_failure(error)
             return None
         if isinstance(error, TimeoutError):
-            # This process was stopped for a while and woke after the
-            # deadline, when both its own time and the race's were over.
+            # This process was suspended and woke up after both the deadline
+            # of the race and that of the attempt.
             self.record_failure(self.sender.time_out(attempt, self.permit))
             return None
         if error is not None:
@@ -235,7 +237,10 @@
         return None
 
     def _best_result(self) -> answers.Answer:
-        """Return the best there is; raises what went wrong."""
+        """Return the best answer so far.
+
+        :raises answers.Failed: when there is none.
+        """
         if self.fallback is not None:
             return self.fallback
         failed = self.failure
@@ -251,7 +256,7 @@
         )
 
     def _release_losers(self) -> None:
-        """Let attempts run on that show how their upstreams do."""
+        """Let the other attempts continue as evidence, or cancel them."""
         for task, attempt in self.running.items():
             if attempt.target.lingering >= MAX_LINGERING:
                 task.cancel()
--- a/carawaystair/request/selection.py
+++ b/carawaystair/request/selection.py
@@ -1,4 +1,4 @@
-"""Which upstreams may get a request, and which of them does."""
+"""Selection of the upstream for each attempt."""
 
 import bisect
 import math
@@ -14,13 +14,13 @@
 from carawaystair.request import target as targets
 from carawaystair import routing as routings
 
-# The shares of starting upstreams are taken anew after so long, seconds.
+# Interval at which the shares of upstreams in warm-up are computed again.
 WARMUP_REFRESH_S = 0.25
 DEFAULT_BALANCER = 'peak'
 
 
 class Location(typing.NamedTuple):
-    """Where this node stands."""
+    """The location of this node."""
 
     host: str
     data_centre: str
@@ -28,14 +28,13 @@
 
 
 class CachedCandidates(typing.NamedTuple):
-    """The candidates of a service and what they were made from.
+    """The candidates of a service, and the state they were computed from.
 
     :param routing: the configuration, compared by identity.
-    :param ejected: the ids that were ejected.
-    :param valid_until: monotonic time up to which the shares hold.
+    :param ejected: ids of the ejected upstreams.
+    :param valid_until: monotonic time until which the shares are valid.
     :param candidates: the upstreams in use.
-    :param reserve: usable upstreams beyond the subset, the first to step in
-        at the front.
+    :param reserve: the other usable upstreams, in the order of preference.
     """
 
     routing: routings.Routing
@@ -46,12 +45,12 @@
 
 
 class Selector:
-    """Chooses upstreams for the requests of this node.
+    """Selects upstreams for the requests of this node.
 
-    :param location: where this node stands.
-    :param directory: the upstreams.
-    :param health: which of them are ejected.
-    :param routing: returns the configuration.
+    :param location: the location of this node.
+    :param directory: the announced upstreams.
+    :param health: knows which of them are ejected.
+    :param routing: returns the configuration in force.
     :param factories: balancer factories by name.
     """
 
@@ -71,15 +70,15 @@
         self.targets: dict[str, targets.Target] = {}
         self.cached: dict[str, CachedCandidates] = {}
         self.balancers: dict[tuple[str, str], targets.Balancer] = {}
-        # When each upstream that leaves was seen to; a second record beside
-        # the targets, for the invariant.
+        # When this node learnt that an upstream is leaving, by its id.  Kept
+        # apart from the targets to check an invariant independently.
         self.leaving_since: dict[str, float] = {}
         directory.subscribe(self.on_change)
 
-    # Keeping up
+    # Updates
 
     def on_change(self, upstream: interfaces.Upstream) -> None:
-        """Take note of an upstream that changed."""
+        """Handle a change of an upstream's announcement."""
         self.cached.pop(upstream.service, None)
         target = self.targets.get(upstream.id)
         if target is not None and targets.is_outdated(target, upstream):
@@ -98,29 +97,30 @@
         old = target.upstream
         started = old.incarnation != new.incarnation
         if started or old.address != new.address:
-            # The process behind the open connections is gone, and what was
-            # seen of it, late answers too, says nothing of the next one.
+            # The process at the other end of the open connections is gone.
+            # What was observed of it, late answers included, does not apply
+            # to the new one.
             self._discard(target, now)
             if new.state != interfaces.GONE:
                 self.targets[new.id] = targets.Target(new, now)
             return
         target.upstream = new
         if new.state != interfaces.UP:
-            # An upstream that is leaving_since may wait for its connections to
-            # end before it stops.
+            # A leaving upstream may wait for its connections to be closed
+            # before it stops.
             connections.close_idle(target)
         if new.state == interfaces.GONE:
             self.targets.pop(new.id, None)
 
     def _discard(self, target: targets.Target, now: float) -> None:
-        """End a target: its connections in use are not kept either."""
+        """Discard a target; its connections in use won't be pooled again."""
         connections.close_idle(target)
         target.lost_before = now
         target.upstream = target.upstream._replace(state=interfaces.GONE)
         self.targets.pop(target.upstream.id, None)
 
     def close_stale(self, now: float) -> None:
-        """Close what has been idle too long, forget what left long ago."""
+        """Close stale connections, forget upstreams that left long ago."""
         for target in self.targets.values():
             if target.idle_connections:
                 connections.close_stale(target, now)
@@ -128,7 +128,7 @@
         for key in old:
             del self.leaving_since[key]
 
-    # Choosing
+    # Selection
 
     def choose(
         self,
@@ -137,7 +137,7 @@
     ) -> targets.Target | None:
         """Return the upstream for the next attempt of a request, or None.
 
-        :param tried: ids that have had an attempt of this request.
+        :param tried: ids of the upstreams that were tried before.
         """
         now = clock.now()
         service = call.match.route.service
@@ -184,13 +184,13 @@
         ]
         usable.sort(key=self._rank)
         region = routing.region(self.location.region)
-        here = {self.location.data_centre}.union(
+        data_centres = {self.location.data_centre}.union(
             region.data_centres if region else ()
         )
         fraction = locality.local_fraction(
-            self.directory.upstreams(service), usable, here
+            self.directory.upstreams(service), usable, data_centres
         )
-        subset = locality.split_by_region(usable, here)
+        subset = locality.split_by_region(usable, data_centres)
         made = locality.weighted_candidates(
             subset, fraction, self.location.data_centre, now
         )
@@ -203,7 +203,10 @@
         )
 
     def _rank(self, target: targets.Target) -> tuple[int, str]:
-        """Order upstreams for this node; other nodes have another order."""
+        """Return the sort key of this node's preference.
+
+        Rendezvous hashing gives each node an order of its own.
+        """
         upstream = target.upstream
         weight = -rendezvous.score(self.location.host, upstream.id)
         return weight, upstream.id
@@ -211,7 +214,7 @@
     def target(
         self, upstream: interfaces.Upstream, now: float
     ) -> targets.Target:
-        """Return what this node knows of an upstream."""
+        """Return the current target of an upstream."""
         target = self.targets.get(upstream.id)
         if target is None:
             target = targets.Target(upstream, now)
@@ -222,7 +225,7 @@
         return target
 
     def find_up(self, service: str, name: str) -> targets.Target | None:
-        """Return an upstream by its id, ejected or not, if it is up."""
+        """Return an upstream by its id if it is up, even if ejected."""
         found = (
             self.target(upstream, clock.now())
             for upstream in self.directory.upstreams(service)
@@ -231,7 +234,7 @@
         return next(found, None)
 
     def balancer(self, service: str, name: str) -> targets.Balancer:
-        """Return the balancer of a service."""
+        """Return the balancer of a service; an unknown name is replaced."""
         balancer = self.balancers.get((service, name))
         if balancer is None:
             factory = (
@@ -246,7 +249,7 @@
 def weighted_choice(
     candidates: targets.Candidates, rng: random.Random
 ) -> targets.Target:
-    """Return a candidate at random, by its share of the work."""
+    """Return a random candidate, weighted by its share of the requests."""
     sums = candidates.cumulative_shares
     index = bisect.bisect(sums, rng.random() * sums[-1])
     return candidates.targets[min(index, len(sums) - 1)]
--- a/carawaystair/request/sender.py
+++ b/carawaystair/request/sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to upstreams until one has answered it, or none may."""
+"""Sends requests to upstreams, with retries, hedges and trials."""
 
 import asyncio
 import typing
@@ -18,17 +18,17 @@
 from carawaystair.request import shared_permit as shared_permits
 from carawaystair.request import target as targets
 
-# Attempts of one request at most, be they retries or hedges.
+# Attempts of a request that may not run twice, at most.
 MAX_ATTEMPTS = 3
 
 
 class Sender(attempt_tracker.AttemptTracker):
     """Sends requests; one for each node.
 
-    :param selector: chooses upstreams.
-    :param health: may want copies of requests for trial.
-    :param evidence: is told what every attempt showed.
-    :param quarantine: knows requests that crash upstreams.
+    :param selector: selects upstreams.
+    :param health: says which upstreams need trial requests.
+    :param evidence: receives the outcome of every attempt.
+    :param quarantine: refuses requests that crash upstreams.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     ) -> answers.Answer:
         """Return the answer to a request.
 
-        :param permit: the admission's permit that the request holds.
+        :param permit: the permit that the request holds.
         :raises answers.Failed: when there is none.
         """
         budget = self.budget(call.service)
@@ -66,7 +66,7 @@
         race.launch(trial, fresh=True)
         return await race.run()
 
-    # Ways to send
+    # Strategies
 
     async def _send_once(
         self,
@@ -75,10 +75,10 @@
         permit: shared_permits.SharedPermit,
         budget: budgets.Budget,
     ) -> answers.Answer:
-        """Send what may not run twice.
+        """Send a request that may not run twice.
 
-        Another attempt is made only while no byte has reached an upstream,
-        or after one said that it refused before running.
+        It is retried only while no byte has been sent to an upstream, or
+        after an upstream stated that it did not run the request.
         """
         tried = []
         while True:
@@ -93,8 +93,8 @@
                 )
             except answers.Failed as error:
                 failed = error
-            spent = attempt.pump is not None
-            if failed.sent or spent or len(tried) >= MAX_ATTEMPTS:
+            streamed = attempt.pump is not None
+            if failed.sent or streamed or len(tried) >= MAX_ATTEMPTS:
                 raise failed
             target = self.selector.choose(call, tried)
             if target is None or not budget.spend():
@@ -103,7 +103,7 @@
     async def _attempt_to_deadline(
         self, attempt: attempts.Attempt, permit: shared_permits.SharedPermit
     ) -> answers.Answer:
-        """Make one attempt with all the time that the request has."""
+        """Make one attempt that may last until the request's deadline."""
         try:
             await self.dispatch(attempt)
             answer = await attempt.answer(attempt.call.deadline)
@@ -113,7 +113,7 @@
             self.fail(attempt, failed)
             raise
         except BaseException:
-            # The caller has gone, as a rule.
+            # Usually, the caller has left.
             self.cancel(attempt, interfaces.CANCELLED, permit)
             raise
         self.complete(attempt, answer)
@@ -128,8 +128,8 @@
     ) -> answers.Answer:
         """Send a request that may run twice.
 
-        A race begins only when the first answer is late, there is none, or
-        it is an error that another upstream may not make.
+        A race starts only if the first attempt is late, fails, or is
+        answered with a server error, which another upstream may not return.
         """
         attempt = self.start(call, target)
         try:
@@ -159,7 +159,7 @@
         target: targets.Target,
         budget: budgets.Budget,
     ) -> targets.Target | None:
-        """Return an upstream that wants a copy of this request."""
+        """Return an upstream to which a copy is sent as a trial, if any."""
         if call.bulk or budget.tokens < 1.0 + budgets.RETRY_RESERVE:
             return None
         if not self.quarantine.may_retry(call.digest):
@@ -171,9 +171,9 @@
         return wanted if wanted is not None and budget.spend() else None
 
     async def stop(self, until: float) -> None:
-        """Wait for what runs beside the requests, then close everything.
+        """Wait for background tasks, then close all connections.
 
-        :param until: monotonic time up to which to wait.
+        :param until: monotonic time until which to wait.
         """
         if self.tasks:
             left_s = max(until - clock.now(), 0.0)
@@ -186,7 +186,7 @@
             connections.close_idle(target)
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
-        """Yield what the retry budgets have seen."""
+        """Yield the metrics of the retry budgets."""
         for service, budget in self.budgets.items():
             label = ('service', service)
             for kind, count in (
--- a/carawaystair/request/service.py
+++ b/carawaystair/request/service.py
@@ -1,4 +1,4 @@
-"""The service that answers callers: its start, its stop and its sweeps."""
+"""The service that answers callers: start, stop and periodic clean-up."""
 
 import asyncio
 import typing
@@ -16,14 +16,14 @@
 from carawaystair.request import sender as senders
 from carawaystair import routing as routings
 
-# Callers' idle connections stay open for so long after a stop has begun, so
-# that a request that was on its way is still answered; seconds.
+# Callers' idle connections stay open for this time after a stop has begun, so
+# that requests that are on their way are still answered.
 IDLE_GRACE_S = 0.5
 STOP_POLL_S = 0.01
 
 
 class Parts(typing.NamedTuple):
-    """The other parts of the node that the path works with."""
+    """The other parts of the node that the request path uses."""
 
     directory: interfaces.Directory
     health: interfaces.Health
@@ -68,7 +68,7 @@
         counts = meters.Meters(self.kernel.timeline)
         metrics.collect(counts.samples)
         metrics.collect(self.sender.samples)
-        # The time of the start keeps ids of two runs of this host apart.
+        # The start time makes request ids unique across restarts.
         start = clock.wall_ms() & 0xFFFFFFFF
         self.handler = handlers.Handler(
             settings.host,
@@ -85,7 +85,7 @@
         await self.listener.listen(settings.bound(settings.node.listen))
 
     async def on_stop(self) -> None:
-        """Take no new work, finish what is in flight, then close."""
+        """Stop listening, wait for requests in flight, then close."""
         if self.listener is None:
             return
         now = clock.now()
@@ -103,8 +103,8 @@
         await self.sender.stop(handler.stop_deadline)
 
     @mode.Service.task
-    async def _sweep(self) -> None:
-        """Close connections to upstreams that have been idle too long."""
+    async def _close_stale(self) -> None:
+        """Close stale connections to upstreams."""
         while not self.should_stop:
             await self.sleep(connections.SWEEP_INTERVAL_S)
             self.selector.close_stale(clock.now())
--- a/carawaystair/request/shared_permit.py
+++ b/carawaystair/request/shared_permit.py
@@ -1,18 +1,18 @@
-"""The admission's slot of one request, which several may still need."""
+"""The admission permit of one request, shared with its attempts."""
 
 from carawaystair import interfaces
 
 
 class SharedPermit:
-    """A permit that is released when nobody holds it any more.
+    """A reference-counted permit, released by its last holder.
 
     The request holds it, and so does every cancelled attempt until its
-    upstream is known to have stopped: giving the slot back earlier would
-    let more run than the upstreams have shared_permits.
+    upstream is known to have stopped: releasing the permit earlier would let
+    more requests run than the upstreams have slots.
 
     :param permit: the permit.
-    :param waited: whether the request had to wait for it, so that there is
-        no slot to spare.
+    :param waited: whether the request had to wait for it, which means that
+        no slot is spare.
     """
 
     __slots__ = ('holders', 'latency_s', 'outcome', 'permit', 'waited')
@@ -27,7 +27,7 @@
         self.latency_s = 0.0
 
     def record_outcome(self, outcome: str, latency_s: float) -> None:
-        """Take note of what the request showed."""
+        """Set the outcome and latency that admission will get."""
         self.outcome = outcome
         self.latency_s = latency_s
 
@@ -36,7 +36,7 @@
         self.holders += 1
 
     def release(self) -> None:
-        """Remove a holder; the last one gives the permit back."""
+        """Remove a holder; the last one releases the permit."""
         self.holders -= 1
         if self.holders == 0:
             self.permit.release(self.outcome, self.latency_s)
--- a/carawaystair/request/silent_connections.py
+++ b/carawaystair/request/silent_connections.py
@@ -1,15 +1,15 @@
-"""Tells a silent connection from a silent upstream.
-
-What stands between two ends may lose track of an open connection: what is
-sent on it is then lost for good, while new connections work.  It looks like
-an upstream that hangs.  To tell them apart, a connection that has been
-silent for too long is suspected: until that is settled, its upstream gets
-requests on new connections only.  An answer on a new one, while the old one
-is still silent, clears the upstream, and all its older connections are given
-up at once.
-
-The benefit of the doubt is given once in a while only: an upstream that
-hangs on some requests would otherwise be cleared by those it answers.
+"""Distinguishes lost connections from upstreams that hang.
+
+A middlebox may drop the state of an open connection.  Everything sent on it
+is then lost, while new connections work, which looks like an upstream that
+hangs.  To distinguish them, a connection that has been silent for too long
+becomes suspect, and until that is resolved, requests to its upstream use new
+connections only.  If a new connection is answered while the old one is still
+silent, the upstream is not to blame, and all its older connections are closed
+at once.
+
+Connections become suspect only once in a while: an upstream that hangs on
+some requests would otherwise be cleared by those that it answers.
 """
 
 import asyncio
@@ -23,28 +23,29 @@
 from carawaystair.request import connections
 from carawaystair.request import target as targets
 
-# A connection is suspected after so many times the delay of a hedge.
+# A connection becomes suspect after this multiple of the hedge delay, and
+# after MIN_SILENCE_S at the earliest.
 HEDGE_DELAY_FACTOR = 3.0
 MIN_SILENCE_S = 0.02
-# A doubt is looked for so long after it may come up.
+# Waits for a suspicion timer end this long after the timer is due.
 CHECK_DELAY_S = 0.001
-# Connections opened within this time after others were found lost are not
-# suspected again.
+# For this time after connections were found lost, no other connection to the
+# upstream becomes suspect.
 TRUST_PERIOD_S = 30.0
 
 
 def late_code(sent: bool) -> codes.Code:
-    """Return what a caller is told when its deadline has passed."""
+    """Return the result code for a request whose deadline has passed."""
     return codes.ANSWER_LATE if sent else codes.DEADLINE_EXPIRED
 
 
-# Doubt
+# Suspicion
 
 
 def start_suspicion_timer(attempt: attempts.Attempt, waited_s: float) -> None:
-    """Note that an answer is late; doubt its connection if it stays silent.
+    """Register a late answer; suspect its connection if it stays silent.
 
-    :param waited_s: how long it has taken so far.
+    :param waited_s: time since the start of the attempt, seconds.
     """
     attempt.target.late_attempts.append(attempt)
     attempt.suspicion_timer = asyncio.get_running_loop().call_at(
@@ -63,13 +64,13 @@
 
 
 def clear_suspicion(attempt: attempts.Attempt) -> None:
-    """End the doubt that an attempt raised, if it did."""
+    """Remove the suspicion that an attempt caused, if any."""
     if attempt.target.suspected is attempt:
         attempt.target.suspected = None
 
 
 def resolve_suspicion(attempt: attempts.Attempt) -> None:
-    """Let an answer settle a doubt about its upstream's connections."""
+    """Resolve a suspicion after the upstream answered an attempt."""
     target = attempt.target
     suspected = target.suspected
     if suspected is None:
@@ -82,23 +83,26 @@
 
 
 def _discard_older(target: targets.Target, opened: float) -> None:
-    """Give up the connections of an upstream that are older than this."""
+    """Close the connections of an upstream that were opened earlier.
+
+    :param opened: monotonic time.
+    """
     target.lost_before = opened
     target.cost = 0.0
     connections.close_idle(target)
     for late in target.late_attempts:
         if late.silent and late.connection.opened_at < opened:
-            # Whoever waits there learns of it now, not at the deadline.
+            # Requests on them fail now and not at their deadlines.
             late.connection.proto.abort()
 
 
-# Attempts that nobody waits for
+# Attempts that no request waits for
 
 
 async def linger(
     sender: typing.Any, task: asyncio.Task, attempt: attempts.Attempt
 ) -> None:
-    """Watch an attempt that nobody waits for until it ends."""
+    """Wait until an attempt that no request waits for has ended."""
     target = attempt.target
     target.lingering += 1
     try:
@@ -128,7 +132,7 @@
 def _record_result(
     sender: typing.Any, task: asyncio.Task, attempt: attempts.Attempt
 ) -> None:
-    """Take note of a lingering attempt that ended by itself."""
+    """Record the end of a lingering attempt that was not cancelled."""
     error = task.exception()
     if isinstance(error, answers.Failed):
         sender.fail(attempt, error)
@@ -148,9 +152,9 @@
 async def probe_new_connection(
     sender: typing.Any, attempt: attempts.Attempt
 ) -> None:
-    """Send a silent request again, on a new connection to its upstream.
+    """Send an unanswered request again, on a new connection.
 
-    Whatever is answered there settles the doubt, see :func:`answered`.
+    An answer there resolves the suspicion, see :func:`resolve_suspicion`.
     """
     if not sender.budget(attempt.call.service).spend():
         return
--- a/carawaystair/request/stored_answer.py
+++ b/carawaystair/request/stored_answer.py
@@ -1,4 +1,4 @@
-"""The stored form of an answer, for callers that repeat their key."""
+"""The stored form of an answer, returned when a caller repeats its key."""
 
 import hashlib
 import typing
@@ -12,13 +12,13 @@
 
 
 class Stored(typing.NamedTuple):
-    """An answer as the reservations keep it.
+    """An answer as the reservations store it.
 
-    :param status: its status; 0 when it was too long to keep.
-    :param reason: the phrase that goes with the status.
+    :param status: the status code; 0 when the answer was too long to store.
+    :param reason: the reason phrase.
     :param headers: names and values.
     :param connection: the values of its ``Connection`` header, or None.
-    :param body: its body.
+    :param body: the whole body.
     """
 
     status: int
@@ -45,7 +45,7 @@
 
 
 def decode(data: bytes) -> answers.Answer | codes.Code:
-    """Return the answer that was stored, or why there is none."""
+    """Return the stored answer, or the code that says why there is none."""
     stored = _DECODER.decode(data)
     if stored == TOO_LONG:
         return codes.KEY_ANSWER_GONE
@@ -53,7 +53,7 @@
 
 
 def request_digest(call: calls.Call) -> bytes:
-    """Return what tells a request from another with the same key."""
+    """Return a digest that detects other requests with the same key."""
     hashed = hashlib.blake2b(digest_size=16)
     path = call.path.encode('utf-8', 'surrogateescape')
     for part in (call.method.encode(), path, call.body):
--- a/carawaystair/request/transfer.py
+++ b/carawaystair/request/transfer.py
@@ -1,11 +1,10 @@
-"""Passes a long answer on, and goes on elsewhere when its upstream breaks.
-
-Bytes pass with back-pressure on both sides: the upstream is read only as
-fast as the caller takes them, so that a transfer holds a bounded amount of
-memory.  When the upstream breaks off, the rest is asked of another one by
-``Range`` and ``If-Range`` (RFC 9110 13.1.5), which is safe only when both
-have the same strong ETag.  Otherwise the caller's connection is broken: an
-answer that is not whole must never look as if it were.
+"""Streams long answers to callers, and resumes them at other upstreams.
+
+With back-pressure, the upstream is read only as fast as the caller reads, so
+that a transfer uses bounded memory.  When the answer breaks off, the rest is
+requested from another upstream with ``Range`` and ``If-Range`` (RFC 9110
+13.1.5), which is safe only if both have the same strong ETag.  Otherwise, the
+caller's connection is aborted: an incomplete answer must never look complete.
 """
 
 import asyncio
@@ -24,13 +23,13 @@
 from carawaystair.request import headers
 from carawaystair.request import shared_permit as shared_permits
 
-# An upstream that sends nothing for so long in the middle of an answer has
-# broken off, if another one can go on; seconds.
+# An answer that can be resumed counts as broken off when the upstream sends
+# nothing for this time.
 RESUMABLE_STALL_S = 2.0
-# If none can, it gets this long.
+# The same for an answer that can't be resumed.
 STALL_TIMEOUT_S = 30.0
 MAX_RESUMES = 5
-# A resume waits so long for the retry budget, in seconds, and asks so often.
+# How long a resume waits for the retry budget, and how often it is checked.
 BUDGET_WAIT_S = 2.0
 BUDGET_POLL_S = 0.1
 CONTENT_RANGE = re.compile(rb'bytes (\d+)-(\d+)/(\d+)')
@@ -45,9 +44,9 @@
 class ByteRange(typing.NamedTuple):
     """The bytes of a representation that an answer carries.
 
-    :param start: the first one.
-    :param end: the one behind the last, None while it is not known.
-    :param tag: the strong ETag, or empty when it can't be resumed.
+    :param start: offset of the first byte.
+    :param end: offset after the last byte, None while unknown.
+    :param tag: the strong ETag, or empty when the answer can't be resumed.
     """
 
     start: int
@@ -56,11 +55,11 @@
 
 
 class TransferError(Exception):
-    """The caller takes no bytes, or would get wrong ones."""
+    """Raised when the caller reads nothing, or would get wrong bytes."""
 
 
 def byte_range(call: calls.Call, answer: answers.Answer) -> ByteRange:
-    """Return which bytes an answer carries."""
+    """Return the range of bytes that an answer carries."""
     tag = headers.value(answer.headers, b'etag') or b''
     plain = call.method == 'GET' and call.idempotent
     if not plain or not tag.startswith(b'"'):
@@ -78,13 +77,13 @@
 
 
 class Transfer:
-    """One long answer on its way to the caller.
+    """Streams one long answer to the caller.
 
     :param sender: starts and ends attempts.
     :param call: the request.
     :param answer: the beginning of the answer.
-    :param exchange: the caller's side.
-    :param permit: the admission's permit of the request, if it has one.
+    :param exchange: writes to the caller.
+    :param permit: the permit of the request, if it has one.
     """
 
     def __init__(
@@ -106,10 +105,10 @@
         self.tried: list[str] = []
 
     async def run(self) -> bool:
-        """Pass the answer on.
+        """Stream the answer.
 
-        :return: whether it is whole; if not, the caller's connection is
-            broken.
+        :return: whether it is complete; if not, the caller's connection was
+            aborted.
         """
         length = headers.value(self.answer.headers, b'content-length')
         try:
@@ -126,7 +125,7 @@
             self.exchange.abort()
             return False
         finally:
-            # The caller has gone, or stalls: the upstream may stop.
+            # The caller has left or stopped reading: cancel the request.
             if self.attempt is not None:
                 self.sender.cancel(
                     self.attempt, interfaces.CANCELLED, self.permit
@@ -143,7 +142,7 @@
             else:
                 break
         if self.range.end is not None and self._next_byte < self.range.end:
-            raise ConnectionError('fewer bytes than were announced')
+            raise ConnectionError('answer shorter than declared')
         if self.attempt is not None:
             self.sender.finish(self.attempt)
             self.attempt = None
@@ -151,7 +150,7 @@
             await self.exchange.request.writer.write_eof()
 
     async def _read(self) -> None:
-        """Pass on what the present upstream sends, to its end."""
+        """Stream the answer of the current attempt to its end."""
         if self.attempt is None:
             return
         payload = self.attempt.payload
@@ -164,7 +163,7 @@
     async def _write(self, chunk: bytes) -> None:
         self.bytes_passed += len(chunk)
         if self.range.end is not None and self._next_byte > self.range.end:
-            raise TransferError('more bytes than were announced')
+            raise TransferError('answer longer than declared')
         try:
             await self.exchange.request.writer.write(chunk, drain=False)
             await self.exchange.wait_drained()
@@ -174,7 +173,7 @@
     # Resuming
 
     def _record_broken(self, error: BaseException) -> None:
-        """Take note that the upstream broke off."""
+        """Record that the answer of the current attempt broke off."""
         attempt, self.attempt = self.attempt, None
         stalled = isinstance(error, TimeoutError)
         outcome = interfaces.TIMEOUT if stalled else interfaces.BROKEN
@@ -190,7 +189,7 @@
         self.sender.abort(attempt)
 
     async def _resume(self) -> bool:
-        """Get the rest from another upstream; tell whether it comes."""
+        """Request the rest elsewhere; return whether an upstream sends it."""
         if not self.range.tag:
             return False
         while len(self.tried) <= MAX_RESUMES:
@@ -208,7 +207,7 @@
         return target or selector.choose(self.call)
 
     async def _wait_budget(self) -> bool:
-        """Wait for the retry budget of the service."""
+        """Wait for the retry budget; return whether a resume is allowed."""
         if not self.sender.quarantine.may_retry(self.call.digest):
             return False
         budget = self.sender.budget(self.call.service)
@@ -220,7 +219,7 @@
         return True
 
     async def _request_rest(self, target) -> bool:
-        """Ask one upstream for the rest; tell whether it sends it."""
+        """Request the rest from one upstream; return whether it sends it."""
         timeout_s = self.call.match.service.timeout_ms / 1000
         call = self.call._replace(
             head=without_conditions(self.call.head),
@@ -254,11 +253,11 @@
 
     @property
     def _next_byte(self) -> int:
-        """Return the first byte that the caller lacks."""
+        """Return the offset of the next byte for the caller."""
         return self.range.start + self.bytes_passed
 
     def _continues(self, call: calls.Call, answer: answers.Answer) -> bool:
-        """Tell whether an answer is the very rest that the caller lacks."""
+        """Return whether an answer is exactly the rest for the caller."""
         if answer.status != 206:
             return False
         rest = byte_range(call, answer)
@@ -274,7 +273,7 @@
 
 
 def without_conditions(head: bytes) -> bytes:
-    """Return a request head without the caller's ranges and conditions."""
+    """Return a request head without the caller's range and conditions."""
     first, *rest = head.split(b'\r\n')
     kept = (
         line
--- a/carawaystair/request/validation.py
+++ b/carawaystair/request/validation.py
@@ -1,9 +1,8 @@
-"""Reads and checks what a caller sent, before anything is done for it."""
+"""Reading and validation of request heads."""
 
 import re
 import typing
 
-
 from carawaystair import codes
 from carawaystair.load import crashing
 from carawaystair.load import returning
@@ -14,8 +13,8 @@
 from carawaystair import routing as routings
 
 NON_IDEMPOTENT = frozenset(('POST', 'PATCH'))
-# A tunnel would hide what is asked for; TRACE would show a caller what
-# other parties added to its request.
+# A CONNECT tunnel would hide the requests in it; TRACE would show a caller
+# the headers that were added to its request.
 REFUSED_METHODS = frozenset(('CONNECT', 'TRACE'))
 MAX_DEADLINE_MS = 3_600_000
 MAX_CUSTOMER_LENGTH = 128
@@ -25,17 +24,18 @@
 KEY_PATTERN = re.compile(r'[ -~]{1,%d}' % MAX_KEY_LENGTH)
 ID_PATTERN = re.compile(r'[\w.:-]{1,%d}' % MAX_ID_LENGTH, re.ASCII)
 DEADLINE_PATTERN = re.compile(r'[0-9]{1,7}', re.ASCII)
-# A dot segment, plain or percent-encoded (RFC 3986 5.2.4), or a backslash,
-# which some upstreams take for a slash.
+# A dot segment, plain or percent-encoded (RFC 3986 5.2.4), between slashes or
+# backslashes, which some upstreams treat as slashes.
 DOT_SEGMENT = re.compile(r'[/\\](\.|%2e){1,2}([/\\]|%2f|%5c|$)', re.IGNORECASE)
 
 
 class Refused(Exception):
-    """The request is refused before it was run.
+    """Raised when a request is refused before it was run.
 
-    :param code: why.
-    :param detail: the circumstances, for a person.
-    :param retry_after_s: when to try again, where the code says to.
+    :param code: result code for the caller.
+    :param detail: human-readable details.
+    :param retry_after_s: seconds until a retry makes sense, sent with codes
+        that invite one.
     """
 
     def __init__(
@@ -48,25 +48,29 @@
 
 
 def crash_refusal(standing: crashing.Standing) -> Refused:
-    """Return the refusal of a request under which upstreams crashed.
+    """Return the refusal of a request that crashes upstreams.
 
-    :param standing: what this node knows of it; a gateway may know more.
+    :param standing: its standing at this node; a gateway may know of more
+        crashes.
     """
-    detail = '%d upstreams crashed under it, the last %.1f s ago: %s' % (
-        standing.crashes,
-        standing.age_s,
-        ' '.join(standing.lives),
+    detail = (
+        '%d upstreams crashed while running it, the last %.1f s ago: %s'
+        % (
+            standing.crashes,
+            standing.age_s,
+            ' '.join(standing.lives),
+        )
     )
     after_s = max(standing.refused_s, returning.MOST_S)
     return Refused(codes.CRASHES_UPSTREAMS, detail, after_s)
 
 
 class RequestTarget(typing.NamedTuple):
-    """Where a request goes.
+    """The target of a request (RFC 9112 3.2).
 
-    :param host: the host that it names, without a port, in lower case.
+    :param host: the host, without a port, in lower case.
     :param path: path and query.
-    :param authority: host and port when the request line names them.
+    :param authority: host and port if the request line contains them.
     """
 
     host: str
@@ -75,52 +79,58 @@
 
 
 def read_target(request: http_server.Request) -> RequestTarget:
-    """Return where a request goes; raises :class:`Refused`."""
+    """Return the target of a request.
+
+    :raises Refused: when it is malformed or not allowed.
+    """
     if request.method in REFUSED_METHODS:
         raise Refused(codes.METHOD_REFUSED, request.method)
     path = request.raw_path
     host = request.headers.get('Host', '')
     authority = ''
     if path[:1] != '/':
-        # The absolute form, whose host goes before Host (RFC 9112 3.2.2).
+        # In the absolute form, the host overrides Host (RFC 9112 3.2.2).
         _scheme, _colon, rest = path.partition('://')
         authority, slash, path = rest.partition('/')
         host, path = authority, slash + path
         if not slash or not authority:
-            raise Refused(codes.NO_ROUTE, 'no path')
+            raise Refused(codes.NO_ROUTE, 'request target without a path')
     if '/.' in path or '%' in path or '\\' in path:
         if DOT_SEGMENT.search(path.partition('?')[0]):
             raise Refused(codes.PATH_REFUSED)
     if not path.isascii() or not host.isascii():
-        raise Refused(codes.REQUEST_MALFORMED, 'bytes beyond ASCII')
+        raise Refused(
+            codes.REQUEST_MALFORMED, 'non-ASCII bytes in path or host'
+        )
     if not host.endswith(']'):
         host = host.rpartition(':')[0] or host
     return RequestTarget(host.lower(), path.partition('#')[0], authority)
 
 
 def match_route(
-    routing: routings.Routing, place: RequestTarget
+    routing: routings.Routing, target: RequestTarget
 ) -> routings.Match | None:
-    """Return the route of a request, if there is one."""
-    return routing.match(place.host, place.path.partition('?')[0])
+    """Return the route of a request, None if no route matches."""
+    return routing.match(target.host, target.path.partition('?')[0])
 
 
 def read_call(
     request: http_server.Request,
-    place: RequestTarget,
+    target: RequestTarget,
     match: routings.Match,
-    known: typing.Callable[[str], typing.Any],
+    get_customer: typing.Callable[[str], typing.Any],
     name: str,
     host: str,
     now: float,
     max_duration_s: float,
 ) -> calls.Call:
-    """Read the head of a request; raises :class:`Refused`.
+    """Read the head of a request.
 
-    :param known: returns what the manifest says of a customer, or None.
-    :param name: the request's own id.
+    :param get_customer: returns a customer's entry in the manifest, or None.
+    :param name: the id that this node gave the request.
     :param host: the host of this node.
-    :param max_duration_s: time that a request may have at most.
+    :param max_duration_s: upper bound of the time to its deadline, seconds.
+    :raises Refused: when a header is invalid or the request loops.
     """
     given = request.headers
     method = request.method
@@ -130,9 +140,11 @@
     idempotent = match.route.idempotent
     if idempotent is None:
         idempotent = method not in NON_IDEMPOTENT
-    # A customer that the manifest does not name shares a class with others
-    # like it, so that made-up names gain nothing.
-    charged = customer if customer and known(customer) else manifest.OTHER
+    # All customers that the manifest doesn't name share one class, so that
+    # invented names bring no advantage.
+    charged = (
+        customer if customer and get_customer(customer) else manifest.OTHER
+    )
     return calls.Call(
         _request_id(given, name),
         match,
@@ -143,38 +155,38 @@
         idempotent,
         '' if idempotent else _key(given),
         method,
-        place.path,
-        upstream_head(request, place, customer, host),
+        target.path,
+        upstream_head(request, target, customer, host),
     )
 
 
 def upstream_head(
     request: http_server.Request,
-    place: RequestTarget,
+    target: RequestTarget,
     customer: str,
     host: str,
 ) -> bytes:
-    """Return the request line and headers that go upstream."""
+    """Return the request line and headers to send upstream."""
     raw = request.raw_headers
-    if place.authority:
+    if target.authority:
         raw = [pair for pair in raw if pair[0].lower() != b'host']
     first = headers.request_head(
-        request.method, place.path, request.headers, raw
+        request.method, target.path, request.headers, raw
     )
     last = 'Via: 1.1 %s\r\n%s%s' % (
         host,
         'Caraway-Customer: %s\r\n' % customer if customer else '',
-        'Host: %s\r\n' % place.authority if place.authority else '',
+        'Host: %s\r\n' % target.authority if target.authority else '',
     )
-    # Via names the hops in their order, so ours comes last.
+    # Via lists the hops in order, so this node's comes last.
     return first + last.encode()
 
 
 def _single(given, name: str, code: codes.Code) -> str | None:
-    """Return a header that must not be repeated."""
+    """Return the value of a header that must not be repeated."""
     value = given.get(name)
     if value is not None and len(given.getall(name)) > 1:
-        raise Refused(code, 'repeated')
+        raise Refused(code, 'header is repeated')
     return value
 
 
@@ -199,9 +211,9 @@
 def read_timeout_ms(
     given, service: manifest.Service, name: str = headers.DEADLINE
 ) -> int:
-    """Return the time that a request has, in ms.
+    """Return the time until the deadline of a request, in ms.
 
-    :param name: the header that says so.
+    :param name: the header that carries it.
     """
     value = _single(given, name, codes.DEADLINE_INVALID)
     if value is None:
@@ -214,9 +226,10 @@
 
 
 def _request_id(given, name: str) -> str:
-    """Return the caller's id with our own behind it, or our own.
+    """Return the caller's id followed by this node's, or only the latter.
 
-    Ours stays part of it, because a caller may use its id twice.
+    This node's id is always part of it, because a caller may use its own id
+    more than once.
     """
     value = given.get(headers.REQUEST_ID)
     if value is None or not ID_PATTERN.fullmatch(value):
@@ -225,6 +238,6 @@
 
 
 def _looped(values: typing.Iterable[str], host: str) -> bool:
-    """Tell whether ``Via`` (RFC 9110 7.6.3) names this node."""
+    """Return whether ``Via`` (RFC 9110 7.6.3) contains this node."""
     hops = (hop.split() for hop in ','.join(values).split(','))
     return any(len(hop) > 1 and hop[1] == host for hop in hops)
