--- a/carawaystair/quarantine/crash_detection.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -120,7 +120,7 @@
 
 
 async def _refuses_connection(target: targets.Target) -> bool:
-    """Tell whether an upstream refuses a new connection."""
+    """Return whether an upstream refuses a new connection."""
     until = clock.now() + connections.CONNECT_TIMEOUT_S
     try:
         connection = await connections.connect(target, until)
--- a/carawaystair/request/http_server.py
+++ b/carawaystair/request/http_server.py
@@ -306,12 +306,12 @@
 
     def _buffer_full(self) -> bool:
         """Return whether waiting answers use up ``MAX_BUFFERED_BYTES``."""
-        held = sum(
+        buffered = sum(
             len(data)
             for pipelined in self.pipelined
             for data in pipelined.request.unsent or ()
         )
-        return held >= MAX_BUFFERED_BYTES
+        return buffered >= MAX_BUFFERED_BYTES
 
     async def _wait_request(self) -> bool:
         """Wait for a request; return whether there is one."""
--- a/carawaystair/request/target.py
+++ b/carawaystair/request/target.py
@@ -96,7 +96,7 @@
 
 
 def is_outdated(target: Target, upstream: interfaces.Upstream) -> bool:
-    """Tell whether an update is about an older incarnation at another host.
+    """Return whether an update is about an older incarnation at another host.
 
     When an upstream id moves to another host and another service, the
     directory reports changes of both incarnations.  The end of the older
--- a/test/request_setup.py
+++ b/test/request_setup.py
@@ -1,4 +1,4 @@
-"""A request path with scripted upstreams around it, for its tests."""
+"""A request path with scripted upstreams, for tests."""
 
 import asyncio
 import collections
@@ -21,7 +21,7 @@
 
 
 class Seen(typing.NamedTuple):
-    """One request as an upstream read it."""
+    """One request as an upstream received it."""
 
     line: str
     headers: dict[str, str]
@@ -29,9 +29,9 @@
 
 
 class Answer(typing.NamedTuple):
-    """One answer as a caller read it.
+    """One answer as a caller received it.
 
-    :param ended: whether it came to its declared end.
+    :param ended: whether it is complete.
     """
 
     status: int
@@ -41,17 +41,17 @@
 
     @property
     def outcome(self) -> str:
-        """Return what the caller was told."""
+        """Return the outcome in the answer."""
         return self.headers['caraway-outcome']
 
     @property
     def code(self) -> str:
-        """Return the code that the caller was told."""
+        """Return the result code in the answer."""
         return self.headers['caraway-code']
 
 
 async def read_head(reader) -> tuple[str, dict[str, str]]:
-    """Read a first line and headers, names in lower case."""
+    """Read a first line and headers, with names in lower case."""
     head = (await reader.readuntil(b'\r\n\r\n')).decode()
     first, *lines = head.rstrip().split('\r\n')
     pairs = (line.split(': ', 1) for line in lines)
@@ -59,7 +59,7 @@
 
 
 async def read_body(reader, headers: dict[str, str]) -> bytes:
-    """Read a body by its length or chunks."""
+    """Read a body with a length or in chunks."""
     if 'content-length' in headers:
         return await reader.readexactly(int(headers['content-length']))
     body = b''
@@ -84,9 +84,9 @@
 class Upstream:
     """An upstream that records what it ran and answers by a script.
 
-    :param port: where it listens.
+    :param port: the port to listen on.
     :param script: ``await script(upstream, seen, writer)`` answers one
-        request; the default answers its own name.
+        request; by default the answer is the upstream's id.
     """
 
     def __init__(self, port: int, script=None) -> None:
@@ -97,12 +97,12 @@
         self.gone = 0
         self.server = None
         self.writers: set = set()
-        # Starts of its process before this one; each has an id of its own.
+        # Earlier crashes; after each one the upstream has a new id.
         self.crashes = 0
 
     @property
     def name(self) -> str:
-        """Return its id."""
+        """Return the id of the upstream."""
         return 'u%d' % self.port + '-%d' % self.crashes * bool(self.crashes)
 
     async def start(self) -> None:
@@ -112,7 +112,7 @@
         )
 
     def crash(self) -> None:
-        """Be gone without a word, as a process that ends."""
+        """Abort all connections and stop listening, as in a crash."""
         self.crashes += 1
         self.server.close()
         for writer in self.writers:
@@ -148,7 +148,7 @@
     """A running request path.
 
     :param upstreams: the upstreams of the service ``portal``.
-    :param service: how that service is declared.
+    :param service: the entry of that service in the manifest.
     :param routes: routes besides ``/portal``.
     """
 
@@ -186,16 +186,16 @@
 
     @property
     def sender(self):
-        """Return the path's sender."""
+        """Return the sender of the request path."""
         return self.path.sender
 
     @property
     def runs(self) -> list[Seen]:
-        """Return what all upstreams ran."""
+        """Return the requests that all upstreams ran."""
         return [seen for upstream in self.upstreams for seen in upstream.runs]
 
     def outcomes(self) -> dict[str, int]:
-        """Return how often each outcome was recorded as evidence."""
+        """Return the number of attempts by reported outcome."""
         return dict(
             collections.Counter(a.outcome for a in self.evidence.attempts)
         )
@@ -203,7 +203,7 @@
     async def ask(
         self, path: str = '/portal/x', method: str = 'GET', **options
     ) -> Answer:
-        """Ask on a connection of its own, see :func:`ask`."""
+        """Send a request on a connection of its own, see :func:`ask`."""
         reader, writer = await connect()
         try:
             return await ask(reader, writer, path, method, **options)
@@ -241,7 +241,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*upstreams, service=None, routes=(), **parts):
-    """Run a path before some upstreams."""
+    """Run a request path with some upstreams."""
     for upstream in upstreams:
         await upstream.start()
     setup = Setup(upstreams, service or manifest.Service(), routes, **parts)
@@ -253,7 +253,7 @@
 
 
 def connect():
-    """Connect to the path."""
+    """Connect to the request path."""
     return asyncio.open_connection('127.0.0.1', LISTEN, limit=2**20)
 
 
@@ -278,7 +278,7 @@
 
 
 async def read_answer(reader, method: str = 'GET') -> Answer:
-    """Read an answer, or as much of it as comes."""
+    """Read an answer, or the part that arrives before the connection ends."""
     first, headers = await read_head(reader)
     status = int(first.split()[1])
     if method == 'HEAD' or status in (204, 304):
--- a/test/test_digests.py
+++ b/test/test_digests.py
@@ -1,4 +1,4 @@
-"""What a request asks for has one name on every host and attempt."""
+"""Tests that a request has the same digest on every host and attempt."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 
 
 def digests(fleet, event):
-    """Return the digests in the events of one name, in all logs."""
+    """Return the digests in all events of one name, from all logs."""
     lines = [line for node in fleet.nodes for line in node.lines.lines]
     told = map(fakes.json.loads, lines)
     return [line['digest'] for line in told if line['event'] == event]
 
 
 async def both(first, second):
-    """Ask twice, at two nodes; return both digests as the logs have them."""
+    """Send two requests to two nodes; return both digests from the logs."""
     async with fleets.running(fleets.serve, fleets.serve) as fleet:
         for node, (path, options) in enumerate((first, second)):
             await fleet.ask(path, node=node, **options)
@@ -27,7 +27,7 @@
 POST = {'method': 'POST', 'body': b'x'}
 
 
-def test_logs_name_what_a_request_asks_for_whatever_its_id():
+def test_same_request_has_same_digest_whatever_its_id():
     first, second = pipes.run(both(('/pay/a', POST), ('/pay/a', POST)))
     assert first == second != ''
 
@@ -55,9 +55,7 @@
         (b'y' + b'x' * 99_999, False),
     ],
 )
-def test_body_too_long_to_be_held_counts_by_length_and_first_bytes(
-    other, same
-):
+def test_long_body_counts_by_length_and_first_bytes(other, same):
     long = POST | {'body': b'x' * 100_000}
     asked = ('/pay/a', long), ('/pay/a', long | {'body': other})
     first, second = pipes.run(both(*asked))
--- a/test/test_kept_connections.py
+++ b/test/test_kept_connections.py
@@ -1,7 +1,7 @@
-"""Requests on kept connections, when the node closes one at that moment.
+"""Tests of requests that arrive while their connection is being closed.
 
-A request that crosses the close of its connection must be answered, or must
-not be passed on: its caller can't know whether it was run.
+Such a request must either be answered or not be sent on: its caller can't
+know whether it was run.
 """
 
 import asyncio
@@ -19,43 +19,37 @@
 from test import request_setup as setups
 
 IDLE_S = 2.0
-# Requests of one kept connection; the second one crosses its close.
+# Requests on one connection; the second arrives while it is closed.
 BOTH = ['GET /read/a HTTP/1.1', 'GET /read/b HTTP/1.1']
 
 
-def hold_up(seconds: float) -> None:
-    """Let the event loop do nothing for a while, as on a busy host."""
+def block_event_loop(seconds: float) -> None:
+    """Block the event loop for a while, as on a busy host."""
     asyncio.get_running_loop().virtual.time += seconds
 
 
-async def ask_and_wait(writer, reader, rest_s: float) -> None:
-    """Use a connection once, and let it rest."""
+async def ask_and_idle(writer, reader, rest_s: float) -> None:
+    """Use a connection once, and leave it idle."""
     await setups.ask(reader, writer, '/read/a')
     await asyncio.sleep(rest_s)
 
 
 async def ask_again(reader, writer) -> setups.Answer | None:
-    """Use a kept connection; return None when it is closed instead."""
+    """Use an open connection again; return None when it is closed instead."""
     try:
         return await setups.ask(reader, writer, '/read/b')
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
 
 
-def test_request_that_was_read_is_answered_although_the_idle_time_is_over():
-    """A node passed a request on and closed its connection at once, so that
-    the caller heard nothing and the upstream was cut off. The event loop had
-    been held up, and one turn of it both read the request and found the idle
-    time of the connection over. The timer looked only at whether the task of
-    the connection stood at its wait, which it does until the next turn: it
-    closed the connection, then the task woke and passed the request on. This
-    has the shape of a record of callers, but is not shown to be its cause:
-    those connections were too young for the idle time of 15 s.
-
-        6.122 s  request sent
-        6.163 s  the connection is closed with no answer
-        6.163 s  reaches the upstream
-        6.164 s  its run ends: 0 cut
+def test_request_that_was_read_is_answered_after_the_idle_timeout():
+    """Guards against closing a connection whose request has been read.
+
+    The event loop was blocked, and one iteration both read the request and
+    found the idle timeout over.  The timer only checked whether the
+    connection's task was waiting, which it does until the next iteration, so
+    it closed the connection.  Then the task woke up and sent the request on:
+    the caller got no answer, and the upstream's run was cut off.
     """
 
     async def scenario():
@@ -64,10 +58,10 @@
             None, fleets.slow(0.1), limits=limits
         ) as fleet:
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            await ask_and_wait(writer, reader, IDLE_S * 0.75)
+            await ask_and_idle(writer, reader, IDLE_S * 0.75)
             second = asyncio.ensure_future(ask_again(reader, writer))
             await asyncio.sleep(0)
-            hold_up(IDLE_S)
+            block_event_loop(IDLE_S)
             answer = await second
             return answer, [seen.line for seen in fleet.runs]
 
@@ -77,18 +71,19 @@
     assert (answer.status, answer.ended) == (200, True)
 
 
-def test_request_whose_caller_has_closed_already_is_not_passed_on():
-    """A request was passed on for nobody. The event loop of the node was held
-    up, and one turn brought the request and the close of its connection; the
-    task of the connection woke afterwards, and passed the request on without
-    a look at whether anybody could still be answered. The log of the node
-    said "left" with one offer, zero milliseconds after the request was read.
+def test_request_whose_caller_has_closed_is_not_sent_on():
+    """Guards against sending on a request whose caller has left.
+
+    The event loop was blocked, and one iteration read both the request and the
+    close of its connection.  The connection's task woke up afterwards and sent
+    the request on without checking whether the connection was open; the log
+    had a "left" event with one offer, 0 ms after the request was read.
     """
 
     async def scenario():
         async with fleets.running(None, fleets.slow(0.1)) as fleet:
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            await ask_and_wait(writer, reader, 0.5)
+            await ask_and_idle(writer, reader, 0.5)
             second = asyncio.ensure_future(ask_again(reader, writer))
             await asyncio.sleep(0)
             writer.close()
@@ -102,13 +97,13 @@
 
 
 @pytest.mark.parametrize('error', [ConnectionResetError, BrokenPipeError])
-def test_broken_connection_of_another_is_no_reason_to_leave_unanswered(
+def test_request_is_answered_when_another_connection_breaks(
     error, monkeypatch
 ):
-    """A caller's connection was closed without a word because another one
-    had broken. Whatever raises a ``ConnectionError`` while a request is
-    handled was taken for the sign that its caller has gone; the caller was
-    still there and heard nothing.
+    """Guards against closing a caller's connection when another one breaks.
+
+    Any ``ConnectionError`` during the handling of a request was taken as a
+    sign that its caller had left.
     """
 
     async def scenario():
@@ -138,12 +133,11 @@
     ('end', 'closed_by'),
     [(_ended_by_caller, 'caller'), (_ended_by_node, 'node')],
 )
-def test_log_tells_who_ended_a_connection_with_a_request_in_hand(
-    end, closed_by
-):
-    """Callers reported connections that were closed without an answer, and
-    the log could not tell whether the node had done it: it said "left" for
-    whatever ended a connection. Now it says by whom.
+def test_log_says_who_closed_a_connection_with_an_open_request(end, closed_by):
+    """Guards against a log that doesn't say who closed a connection.
+
+    The "left" event of an unanswered request must tell whether the caller or
+    the node closed its connection.
     """
 
     async def scenario():
@@ -164,14 +158,13 @@
     assert closed_by in explain.sentence(left[0])
 
 
-def test_request_that_came_with_its_callers_close_is_not_taken_up():
-    """A request was passed on, and its run cut off a millisecond later, for a
-    caller that had closed its connection already. The loop had been held up;
-    when it went on, the request and the end of the stream were both there. A
-    real transport reads the end one turn after the bytes, and the task of the
-    connection wakes between the two: a look at whether the connection is open
-    came one turn too early. With three such requests and a hold-up of 41 ms
-    one reached the upstream.
+def test_request_that_arrived_with_its_callers_close_is_not_run():
+    """Guards against running a request that arrived with its caller's close.
+
+    The event loop was blocked; afterwards both the request and the end of the
+    stream had arrived.  A transport reads the end one iteration after the
+    bytes, and the connection's task wakes up between the two, so that a check
+    whether the connection is open came one iteration too early.
     """
     taken = []
 
@@ -188,7 +181,7 @@
         await asyncio.sleep(0.05)
         raw.sendall(b'GET /read/a HTTP/1.1\r\nHost: a\r\n\r\n')
         raw.close()
-        # Nothing runs meanwhile: both are there when the loop goes on.
+        # Blocks the event loop: both have arrived when it continues.
         time.sleep(0.05)
         await asyncio.sleep(0.3)
         found.close()
@@ -198,10 +191,11 @@
     assert taken == []
 
 
-def test_requests_behind_a_long_body_are_all_read():
-    """Ten requests came right behind one with a long body. Seven of them were
-    answered; the others stayed unread in the parser for good, while the
-    connection stood open and nothing was said.
+def test_requests_after_a_long_body_are_all_read():
+    """Guards against requests that stay unread after a long body.
+
+    Of ten requests that arrived right after one with a long body, three stayed
+    in the parser for ever while the connection was open.
     """
     gets, size = 10, 200_000
     lines = [
--- a/test/test_pipelining.py
+++ b/test/test_pipelining.py
@@ -1,7 +1,6 @@
-"""Requests that a caller sends before the first one is answered.
+"""Tests of pipelined requests, sent before earlier ones are answered.
 
-They run side by side, and their answers go out in the order in which the
-requests came.
+They run concurrently, and are answered in the order of their arrival.
 """
 
 import asyncio
@@ -26,20 +25,20 @@
 
 
 async def work(upstream, seen, writer) -> None:
-    """Work for as long as the path says, in ms, and answer with the path."""
+    """Work for as many ms as the path says, and answer with the path."""
     path = seen.line.split()[1]
-    said = path.rpartition('/')[2].partition('-')
-    await asyncio.sleep(int(said[0]) / 1000)
-    if said[2] == 'break':
+    parts = path.rpartition('/')[2].partition('-')
+    await asyncio.sleep(int(parts[0]) / 1000)
+    if parts[2] == 'break':
         writer.close()
-    elif said[2].startswith('long'):
+    elif parts[2].startswith('long'):
         writer.write(fleets.good(b'x' * 300_000))
     else:
         writer.write(fleets.good(path.encode()))
 
 
-def sent(*paths: str, last: str = '') -> bytes:
-    """Return the bytes of requests; payouts are those below ``/pay/``.
+def encode_requests(*paths: str, last: str = '') -> bytes:
+    """Return the bytes of requests; those below ``/pay/`` are POSTs.
 
     :param last: a header line of the last one.
     """
@@ -57,7 +56,7 @@
 
 
 async def answers(reader, count: int) -> list[setups.Answer]:
-    """Read answers until there are so many or the connection ends."""
+    """Read answers until the count is reached or the connection ends."""
     found = []
     try:
         while len(found) < count:
@@ -84,7 +83,7 @@
                 '127.0.0.1', 8000, limit=2**21
             )
             began = loop.time()
-            writer.write(sent(*paths))
+            writer.write(encode_requests(*paths))
             found = await answers(reader, len(paths))
             took_s = loop.time() - began
             writer.close()
@@ -94,11 +93,11 @@
     return pipes.run(scenario())
 
 
-def test_requests_sent_ahead_run_side_by_side():
-    """Callers of status checks waited twice as long as their requests took.
-    They sent the next request before the last one was answered, and a node
-    began a request only once it had answered the one before: the median was
-    984 ms at the caller, and 486 ms at the node.
+def test_pipelined_requests_run_concurrently():
+    """Guards against pipelined requests that run one after another.
+
+    When a node started each request only after it had answered the one before,
+    the median latency was 984 ms at the caller and 486 ms at the node.
     """
     paths = ['/read/400', '/read/401', '/read/402', '/read/403']
     found, took_s, _runs = ask(*paths)
@@ -107,17 +106,18 @@
     assert took_s < 2 * 0.4
 
 
-def test_answers_come_in_the_order_of_their_requests():
+def test_answers_are_in_the_order_of_their_requests():
     paths = ['/read/500', '/read/1', '/read/200', '/read/2']
     found, _took_s, runs = ask(*paths)
     assert [answer.body.decode() for answer in found] == paths
     assert len(runs) == 4
 
 
-def test_what_may_run_once_waits_for_the_answers_before_it():
-    """A request that may run once must not have run when an answer before it
-    closes the connection: its caller takes it for not read, and sends it
-    again.
+def test_non_idempotent_waits_for_earlier_answers():
+    """Guards against a second run of a request that may run only once.
+
+    When an earlier answer closes the connection, the caller takes the request
+    for not read and sends it again, so it must not have run.
     """
     paths = ['/read/100', '/pay/10', '/read/1']
     found, took_s, runs = ask(*paths)
@@ -128,17 +128,19 @@
     ]
 
 
-def test_nothing_behind_an_answer_that_closes_is_run_afterwards():
-    """Callers take what stands behind an answer that closes the connection
-    for not read, and send it again, whatever it is.
+def test_nothing_runs_after_an_answer_that_closes():
+    """Guards against running requests after an answer that closes.
+
+    Callers take requests after such an answer for not read, and send them
+    again.
     """
-    closing = sent('/read/50', last='Connection: close\r\n')
+    closing = encode_requests('/read/50', last='Connection: close\r\n')
 
     async def scenario():
         async with fleets.running(None, work, routes=ROUTES) as fleet:
             await asyncio.sleep(0.1)
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            writer.write(closing + sent('/pay/10', '/read/10'))
+            writer.write(closing + encode_requests('/pay/10', '/read/10'))
             found = await answers(reader, 3)
             await asyncio.sleep(3.0)
             return found, [seen.line for seen in fleet.runs]
@@ -149,7 +151,7 @@
     assert runs == ['GET /read/50 HTTP/1.1']
 
 
-def test_failure_in_the_middle_leaves_the_others_their_own_answers():
+def test_failure_in_the_middle_does_not_affect_other_answers():
     paths = ['/read/30', '/read/10-break', '/read/20']
     found, _took_s, _runs = ask(*paths)
     assert [answer.status for answer in found] == [200, 502, 200]
@@ -157,26 +159,28 @@
 
 
 def test_long_answers_wait_for_their_turn():
-    """Bytes of answers that can't be sent yet are not piled up."""
+    """Guards against buffering long answers that can't be written yet."""
     paths = ['/read/300', '/read/10-long', '/bulk/10-long', '/read/5']
     found, _took_s, _runs = ask(*paths)
     assert [len(answer.body) for answer in found] == [9, 300_000, 300_000, 7]
 
 
-def test_more_ahead_than_allowed_are_all_answered():
-    """Reading stops at the bound, and goes on when answers have gone out."""
+def test_more_than_the_limit_are_all_answered():
+    """Reading pauses at the limit, and resumes when answers were written."""
     paths = ['/read/%d' % (100 + number) for number in range(MANY * 3)]
     found, _took_s, runs = ask(*paths, upstreams=3)
     assert [answer.body.decode() for answer in found] == paths
     assert len(runs) == len(paths)
 
 
-def test_garbage_behind_a_good_request_is_refused_after_its_answer():
+def test_garbage_after_a_valid_request_is_refused():
     async def scenario():
         async with fleets.running(None, work, routes=ROUTES) as fleet:
             await asyncio.sleep(0.1)
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            writer.write(sent('/read/50') + b'this is\x00 no request\r\n\r\n')
+            writer.write(
+                encode_requests('/read/50') + b'this is\x00 no request\r\n\r\n'
+            )
             found = await answers(reader, 3)
             return found, len(fleet.runs), await reader.read()
 
@@ -185,14 +189,16 @@
     assert (found[0].body, runs, rest) == (b'/read/50', 1, b'')
 
 
-def test_all_ahead_are_cancelled_with_their_caller():
-    """Work for a caller who has gone would hold slots for nothing."""
+def test_all_are_cancelled_when_the_caller_leaves():
+    """Guards against work for a caller that has left, which occupies slots."""
 
     async def scenario():
         async with fleets.running(None, work, work, routes=ROUTES) as fleet:
             await asyncio.sleep(0.1)
             _reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            writer.write(sent('/read/3000', '/read/3001', '/read/3002'))
+            writer.write(
+                encode_requests('/read/3000', '/read/3001', '/read/3002')
+            )
             await asyncio.sleep(0.5)
             running = [
                 slots.line.running
@@ -213,20 +219,24 @@
     assert (sum(left), active) == (0, 0)
 
 
-def test_stop_answers_what_was_passed_on_before_it_closes():
-    """A stop cuts off nothing in flight: what runs ahead of others is
-    answered, and what comes later is told to use another connection.
+def test_stop_answers_requests_in_progress():
+    """Guards against a stop that cuts off pipelined requests.
+
+    Those in progress are answered, and so is a later one, whose answer closes
+    the connection.
     """
 
     async def scenario():
         async with fleets.running(None, work, work, routes=ROUTES) as fleet:
             await asyncio.sleep(0.1)
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            writer.write(sent('/read/900', '/read/901', '/read/902'))
+            writer.write(
+                encode_requests('/read/900', '/read/901', '/read/902')
+            )
             await asyncio.sleep(0.3)
             stopping = asyncio.ensure_future(fleet.nodes[0].service.stop())
             await asyncio.sleep(0.05)
-            writer.write(sent('/read/10'))
+            writer.write(encode_requests('/read/10'))
             found = await answers(reader, 4)
             rest = await reader.read()
             await stopping
@@ -238,17 +248,18 @@
     assert (rest, len(runs)) == (b'', 4)
 
 
-def test_time_in_line_counts_against_the_deadline():
-    """An upstream was handed more time than its caller had left. A request
-    that stood behind others had its deadline counted from when its turn
-    came, not from when it was read.
+def test_time_in_queue_counts_against_the_deadline():
+    """Guards against deadlines that don't include the time in the queue.
+
+    The deadline of a request counts from when it was read, and not from when
+    the earlier ones were answered.
     """
 
     async def scenario():
         async with fleets.running(None, work, routes=ROUTES) as fleet:
             await asyncio.sleep(0.1)
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
-            writer.write(sent('/pay/700', '/pay/10'))
+            writer.write(encode_requests('/pay/700', '/pay/10'))
             await answers(reader, 2)
             return [
                 int(seen.headers['caraway-deadline-ms']) for seen in fleet.runs
@@ -276,12 +287,14 @@
     strategies.lists(strategies.integers(1, 400), max_size=4),
     strategies.none() | strategies.integers(1, 1500),
 )
-def test_any_shape_gets_its_own_answers_and_runs_once_at_most(
+def test_any_requests_get_their_answers_and_run_once_at_most(
     shapes, cuts, leaves_ms
 ):
-    """Each answer belongs to its own request, in order, whole; what may run
-    once does so at most once, and not before all before it were answered;
-    wherever the bytes are cut in pieces, and whenever the caller leaves.
+    """Guards against mixed up answers and against second runs.
+
+    Each answer belongs to its request, in order and complete.  A request that
+    may run only once does so at most once, and only after all earlier ones
+    were answered; however the bytes are split, and whenever the caller leaves.
     """
     paths = [
         '/%s/%d%s%s' % (kind, ms, how or '-', '-%d' % number)
@@ -297,7 +310,7 @@
                 '127.0.0.1', 8000, limit=2**21
             )
             reading = asyncio.ensure_future(answers(reader, len(paths)))
-            data = sent(*paths)
+            data = encode_requests(*paths)
             for cut in cuts:
                 writer.write(data[:cut])
                 data = data[cut:]
@@ -330,14 +343,14 @@
 
 
 async def numbered(upstream, seen, writer) -> None:
-    """As :func:`work`, but answers tell whose they are."""
+    """Work as :func:`work` does, and put the path into every answer."""
     path = seen.line.split()[1]
-    said = path.rpartition('/')[2].split('-')
-    await asyncio.sleep(int(said[0]) / 1000)
-    if said[1] == 'break':
+    parts = path.rpartition('/')[2].split('-')
+    await asyncio.sleep(int(parts[0]) / 1000)
+    if parts[1] == 'break':
         writer.close()
         return
-    size = 200_000 if said[1] == 'long' else 0
+    size = 200_000 if parts[1] == 'long' else 0
     writer.write(fleets.good(path.encode() + b'|' + b'x' * size))
 
 
@@ -353,7 +366,7 @@
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
             paths = ['/read/100', '/pay/101', '/read/102', '/pay/103']
-            writer.write(sent(*paths))
+            writer.write(encode_requests(*paths))
             loop.call_later(broken_at_ms / 1000, loop.reset, 8000)
             found = await answers(reader, 4)
             await asyncio.sleep(4.0)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -1,4 +1,4 @@
-"""How processes tell each other of requests that crash upstreams."""
+"""Tests of the exchange of facts about requests that crash upstreams."""
 
 import asyncio
 import random
@@ -15,8 +15,8 @@
 from carawaystair import settings
 from test import fakes
 
-# What one process knows is known to all after so long, seconds: the shortest
-# time that the users' deployments allow.
+# Time in which facts must reach all processes: the shortest contact time
+# that the deployments of the users allow.
 CONTACT_S = 3.0
 CENTRES = 6
 
@@ -34,12 +34,12 @@
         return tuple(self.fleet.members.values())
 
     def subscribe(self, callback) -> None:
-        """Call back when one comes or goes."""
+        """Register a callback for changes of members."""
         self.callbacks.append(callback)
 
 
 class Lines:
-    """Takes log lines."""
+    """Keeps log lines."""
 
     def __init__(self) -> None:
         self.events: list[dict] = []
@@ -66,7 +66,7 @@
             self.add(number)
 
     def add(self, number: int, incarnation: int = 1):
-        """Add a process, or another start of one."""
+        """Add a process, or a restart of one."""
         host = 'h%d' % number
         address = '10.0.%d.%d:1' % divmod(number, 250)
         centre = 'c%d' % (number % CENTRES)
@@ -87,13 +87,13 @@
         return self.processes[host]
 
     def changed(self, host: str) -> None:
-        """Tell all processes that one came or went."""
+        """Notify all processes of a member that changed."""
         for seen in self.seen.values():
             for callback in seen.callbacks:
                 callback(self.members[host], True)
 
     def refusing(self, digest: str = 'd') -> int:
-        """Return how many processes refuse a request."""
+        """Return the number of processes that refuse a request."""
         return sum(p.refuses(digest) for p in self.processes.values())
 
     async def start(self) -> None:
@@ -107,7 +107,7 @@
             await process.stop()
 
     async def crash(self, number: int, requests=None) -> None:
-        """Let the upstream of a host crash."""
+        """Record a crash of an upstream at a host."""
         process = self.processes['h%d' % number]
         process.record_crash(
             'u%d/1' % number, requests or {'d': 'r'}, True, 'test'
@@ -156,8 +156,8 @@
     assert run(33, scenario, loss=0.2) == (33, 0)
 
 
-def test_process_that_starts_learns_what_the_others_know():
-    """Guards against a request that is run by whoever has just started."""
+def test_process_that_starts_learns_all_facts():
+    """Guards against a refused request that runs at a restarted process."""
 
     async def scenario(fleet):
         for number in range(3):
@@ -174,7 +174,7 @@
     assert run(12, scenario) == (False, True)
 
 
-def test_process_that_was_cut_off_learns_what_the_others_know():
+def test_process_that_was_partitioned_learns_all_facts():
     async def scenario(fleet):
         apart = [fleet.members['h5'].peer]
         rest = [m.peer for h, m in fleet.members.items() if h != 'h5']
@@ -191,7 +191,7 @@
 
 
 def test_many_crashes_at_once_cost_each_host_a_bounded_number_of_bytes():
-    """Guards against facts that crowd out requests on a thin link."""
+    """Guards against facts that use up the bandwidth of a slow link."""
 
     async def scenario(fleet):
         before = fleet.network.carried_bytes
@@ -217,9 +217,10 @@
     assert run(12, scenario) == 0
 
 
-def test_popular_request_is_not_refused_for_crashes_that_it_was_beside():
-    """Guards against a sound request that runs everywhere all the time being
-    refused because some of its upstreams crash at once.
+def test_popular_request_is_not_refused_for_crashes_caused_by_others():
+    """Guards against refusing a harmless request that runs everywhere.
+
+    It runs all the time, also on upstreams that crash because of others.
     """
 
     async def scenario(fleet):
@@ -234,7 +235,7 @@
     assert run(12, scenario) == 0
 
 
-def test_log_tells_of_suspicion_refusal_and_clearing():
+def test_suspicion_refusal_and_clearing_are_logged():
     async def scenario(fleet):
         for number in range(3):
             await fleet.crash(number, {'d': 'r%d' % number, 'e': 's'})
@@ -259,7 +260,7 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_all_come_to_know_the_same_whatever_is_lost(seed):
+def test_processes_converge_whatever_messages_are_lost(seed):
     async def scenario(fleet):
         rng = random.Random(seed)
         for _step in range(60):
@@ -267,8 +268,8 @@
             process = fleet.processes['h%d' % number]
             digest = 'd%d' % rng.randrange(5)
             if rng.random() < 0.8:
-                life = 'u%d/%d' % (number, rng.randrange(2))
-                process.record_crash(life, {digest: 'r'}, True, 'test')
+                incarnation = 'u%d/%d' % (number, rng.randrange(2))
+                process.record_crash(incarnation, {digest: 'r'}, True, 'test')
             else:
                 process.clear(digest)
             await asyncio.sleep(rng.random() * 0.2)
@@ -284,9 +285,10 @@
     assert len(run(12, scenario, loss=0.3, double=0.2)) == 1
 
 
-def test_one_host_alone_tries_a_request_again_and_one_at_a_time():
-    """Guards against a request that crashes an upstream for each host that
-    tries it once its time is over.
+def test_trial_runs_at_one_host_and_one_at_a_time():
+    """Guards against trials at all hosts once the hold time is over.
+
+    Each trial may crash another upstream.
     """
 
     async def scenario(fleet):
@@ -300,7 +302,7 @@
     assert run(12, scenario) == (0, 1)
 
 
-def test_request_that_may_be_at_fault_is_not_repeated():
+def test_request_that_may_cause_crashes_is_not_retried():
     async def scenario(fleet):
         before = fleet.processes['h5'].may_retry('d')
         for number in range(2):
@@ -311,8 +313,8 @@
     assert run(6, scenario) == (True, False)
 
 
-def test_control_host_keeps_what_all_nodes_forget_when_they_start_again():
-    """Guards against a request that runs again once all nodes started anew."""
+def test_control_host_keeps_facts_when_all_nodes_restart():
+    """Guards against a refused request that runs after all nodes restart."""
 
     async def scenario(fleet):
         kept = fleet.processes['h0']
@@ -331,8 +333,8 @@
     assert run(12, scenario) == (True, 1, 12)
 
 
-def test_control_role_takes_part(tmp_path):
-    """Guards against a control host that drops what it is told."""
+def test_control_role_exchanges_facts(tmp_path):
+    """Guards against a control host that ignores the facts."""
 
     async def scenario():
         document = {
--- a/test/test_request.py
+++ b/test/test_request.py
@@ -1,4 +1,4 @@
-"""The request path: from a caller to an upstream and back."""
+"""Test of the request path with a single plain request."""
 
 from test import pipes
 from test import request_setup as setups
--- a/test/test_request_crashing.py
+++ b/test/test_request_crashing.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams, where nodes send to them directly."""
+"""Tests of requests that crash upstreams, without gateways."""
 
 import asyncio
 import contextlib
@@ -17,21 +17,23 @@
 
 DOWN_S = 2.0
 LIMIT = 3
-# The beginning of an answer that is passed on as it comes.
-BEGUN = b'HTTP/1.1 200 X\r\nContent-Length: 400000\r\n\r\n' + b'x' * 200_000
+# The beginning of an answer that is streamed.
+ANSWER_START = (
+    b'HTTP/1.1 200 X\r\nContent-Length: 400000\r\n\r\n' + b'x' * 200_000
+)
 
 
 class Members:
-    """A fleet of one process."""
+    """The members of a fleet of one process."""
 
     me = interfaces.Member('h1', 'a', 'r', '10.0.0.1:1', '10.0.0.1:1')
 
     def alive(self):
-        """Return the one."""
+        """Return the only member."""
         return (self.me,)
 
     def subscribe(self, callback) -> None:
-        """Nobody comes or goes."""
+        """Do nothing: the members don't change."""
 
 
 def make_quarantine():
@@ -46,13 +48,13 @@
 
 
 async def crash_or_serve(upstream, seen, writer):
-    """Crash when the path says so, and come back under another name."""
+    """Crash if the path says so, and restart with another id."""
     if 'crash' not in seen.line:
         await asyncio.sleep(0.05)
         writer.write(setups.reply(upstream.name.encode()))
         return
     if 'download' in seen.line:
-        writer.write(BEGUN)
+        writer.write(ANSWER_START)
     await asyncio.sleep(0.02)
     upstream.crash()
     upstream.restart = asyncio.get_running_loop().call_later(
@@ -69,7 +71,7 @@
     ],
 )
 def test_request_that_crashed_three_upstreams_reaches_no_more(path, method):
-    """Guards against a request that ends one upstream after the other."""
+    """Guards against a request that crashes one upstream after another."""
 
     async def scenario():
         known = make_quarantine()
--- a/test/test_request_late.py
+++ b/test/test_request_hedging.py
@@ -1,4 +1,4 @@
-"""Late answers: hedges, trials, and silence of connections or upstreams."""
+"""Tests of hedges, trials, lost connections and balancers."""
 
 import asyncio
 import random
@@ -29,16 +29,16 @@
 
 
 async def warm(setup, count=60):
-    """Let the path learn what answers take."""
+    """Send requests until the latency estimate is known."""
     for _n in range(count):
         await setup.ask()
 
 
 def test_hedge():
-    """Symptom: a stranded family waits for a status page.
-    Sequence: one upstream hangs on a request.
-    Cause: when an answer is later than most, a second attempt goes to
-    another upstream; the first shows how its upstream does meanwhile.
+    """Guards against a caller that waits for one upstream that hangs.
+
+    A second attempt goes to another upstream, and the first continues as
+    evidence of its upstream's health.
     """
 
     async def scenario():
@@ -61,18 +61,19 @@
     assert {answer.body for answer in answers} == {b'u9002', b'u9003'}
     assert took < 30 * 0.012 + 0.1
     assert running in (1, 2)
-    # Once an answer was late, its upstream got no more work.
+    # Once an answer was late, its upstream got no further requests.
     assert len(setup.upstreams[0].runs) <= 2
-    # The hanging attempts were blamed when their time was over.
+    # The hanging attempts count against it once their deadline has passed.
     assert setup.outcomes()['timeout'] == running
     targets_now = setup.path.selector.targets.values()
     assert all(t.in_flight == t.lingering == 0 for t in targets_now)
 
 
 def test_no_hedge_without_slots():
-    """Symptom: an overloaded service answers less, not more.
-    Sequence: requests wait for slots, and answers are late.
-    Cause: a hedge would take the slot of a request that waits.
+    """Guards against hedges that add to an overload.
+
+    Requests wait for slots, and answers are late: a hedge would take the slot
+    of a request that waits.
     """
 
     class Busy(inert.Admission):
@@ -89,8 +90,8 @@
             for upstream in upstreams:
                 upstream.script = hang
                 upstream.runs.clear()
-            # The open connections are closed meanwhile, so that none of
-            # them can be doubted.
+            # The open connections are closed in the meantime, so that none of
+            # them can become suspect.
             await asyncio.sleep(60.0)
             return await setup.ask(), setup.runs
 
@@ -99,11 +100,11 @@
     assert len(runs) == 1
 
 
-def test_wakes_after_the_deadline():
-    """Symptom: a caller is told of a defect (CS-9001).
-    Sequence: this process is stopped while a request waits for two late
-    answers, and goes on after the request's deadline.
-    Cause: the attempts' own time and the race's are over at once then.
+def test_process_resumes_after_the_deadline():
+    """Guards against an internal error (CS-9001) after a suspension.
+
+    This process is suspended while a request waits for two late answers, and
+    resumes after the deadline, when attempts and race time out at once.
     """
 
     async def scenario():
@@ -120,9 +121,9 @@
 
 
 def test_no_hedge_for_what_may_run_once():
-    """Symptom: a hold is placed twice.
-    Sequence: the upstream is slow to answer it.
-    Cause: only work that may be repeated is hedged.
+    """Guards against a second run of a request that may run only once.
+
+    The upstream is slow to answer it.
     """
 
     async def scenario():
@@ -140,7 +141,7 @@
 
 
 def silent(count, script=quick):
-    """Let open connections of all upstreams go silent; then ask."""
+    """Let all open connections go silent, then send requests."""
 
     async def scenario():
         upstreams = [setups.Upstream(9001 + n, quick) for n in range(count)]
@@ -162,10 +163,10 @@
 
 @pytest.mark.parametrize('count', [1, 2, 8])
 def test_silent_connections(count):
-    """Symptom: healthy upstreams are ejected when a firewall restarts.
-    Sequence: all open connections go silent for good; new ones work.
-    Cause: an answer on a new connection, while the old one is silent, shows
-    that the connection is at fault.
+    """Guards against ejecting healthy upstreams when a firewall restarts.
+
+    All open connections go silent, while new ones work.  An answer on a new
+    connection, while the old one is silent, shows that the connection is lost.
     """
     answers, took, lost, outcomes = silent(count)
     assert lost >= count
@@ -176,21 +177,22 @@
 
 
 def test_hanging_upstream_is_not_cleared():
-    """Symptom: an upstream that hangs keeps its work for long.
-    Sequence: one upstream hangs on every request; its connections are open.
-    Cause: new connections do not answer either, so the upstream is blamed.
+    """Guards against requests to an upstream that hangs.
+
+    It hangs on every request, also on new connections, so that the silence
+    counts against it.
     """
     _answers, _took, _lost, outcomes = silent(1, script=hang)
     assert outcomes['timeout'] >= 3
     assert 'silent' not in outcomes
 
 
-def test_doubt_is_given_once():
-    """Symptom: an upstream that hangs on some requests is never blamed.
-    Sequence: it hangs on every third request, and answers the others on new
-    connections.
-    Cause: after its connections were cleared once, the next hang within a
-    while is its own.
+def test_connections_are_suspected_once():
+    """Guards against clearing an upstream that hangs on some requests.
+
+    It hangs on every third request and answers the others on new connections.
+    Its connections become suspect only once in a while, so that the next hang
+    counts against it.
     """
 
     async def third(upstream, seen, writer):
@@ -213,9 +215,9 @@
 
 
 def test_trial():
-    """A copy for trial goes out beside the first attempt, and both end."""
+    """A trial copy is sent beside the first attempt, and both end."""
 
-    class Curious(inert.Health):
+    class TrialHealth(inert.Health):
         wishes = ['u9002']
 
         def trial(self, service):
@@ -230,7 +232,7 @@
 
     async def scenario():
         upstreams = setups.Upstream(9001, quick), setups.Upstream(9002, slow)
-        async with setups.running(*upstreams, health=Curious()) as setup:
+        async with setups.running(*upstreams, health=TrialHealth()) as setup:
             answer = await setup.ask()
             await asyncio.sleep(1.0)
             return answer, setup
@@ -241,11 +243,11 @@
     assert max(a.latency_s for a in setup.evidence.attempts) > 0.5
 
 
-# Choosing
+# Selection
 
 
 def candidates(*details):
-    """Return candidates and a selector's balancer over them."""
+    """Return candidates with the given latencies, in seconds."""
     made = [
         targets.Target(
             interfaces.Upstream('u%d' % n, 's', 'x:1', 'h', 'a', 5), 0.0
@@ -259,17 +261,17 @@
 
 
 def drawn(balancer, found, count=400):
-    """Return how often each candidate is chosen."""
+    """Return how often a balancer selects each candidate."""
     chosen = [balancer.choose(found, '', 0.05) for _n in range(count)]
     return [chosen.count(target) for target in found.targets]
 
 
-@pytest.mark.parametrize('come', [True, False])
-def test_peak_avoids_the_slow(come):
-    """A slow answer, come or not, makes its upstream the last choice."""
+@pytest.mark.parametrize('arrived', [True, False])
+def test_peak_avoids_the_slow(arrived):
+    """An upstream with a slow or late answer is rarely selected."""
     peak = balancer_peak.Peak(random.Random(1), inert.Health())
-    found = candidates(0.01, 0.01, 0.01, 1.0 if come else 0.01)
-    if not come:
+    found = candidates(0.01, 0.01, 0.01, 1.0 if arrived else 0.01)
+    if not arrived:
         late = types.SimpleNamespace(started=-1.0)
         found.targets[3].late_attempts.append(late)
     counts = drawn(peak, found)
@@ -278,13 +280,13 @@
 
 
 def test_peak_heeds_load_and_weight():
-    """Requests in flight and soft weights count."""
+    """Requests in flight and health weights affect the selection."""
 
-    class Doubting(inert.Health):
+    class SoftWeights(inert.Health):
         def weight(self, upstream, customer=''):
             return 0.01 if upstream == 'u1' else 1.0
 
-    peak = balancer_peak.Peak(random.Random(1), Doubting())
+    peak = balancer_peak.Peak(random.Random(1), SoftWeights())
     found = candidates(0.01, 0.01, 0.01)
     found.targets[2].in_flight = 3
     counts = drawn(peak, found)
@@ -292,7 +294,7 @@
 
 
 def test_roundrobin():
-    """The baseline goes round."""
+    """Round robin selects all candidates equally often."""
     turns = balancer_roundrobin.RoundRobin(random.Random(1), inert.Health())
     assert drawn(turns, candidates(0.1, 9.0)) == [200, 200]
 
@@ -310,7 +312,7 @@
 
 
 def test_candidates():
-    """Drains, places, warm-up and weights decide who is a candidate."""
+    """Drains, locations, warm-up and weights determine the candidates."""
 
     async def scenario():
         upstreams = [setups.Upstream(9001 + n) for n in range(5)]
@@ -341,6 +343,6 @@
     assert near.keys() == {'u9002', 'u9003', 'u9004'}
     assert near['u9002'] == 3.0
     assert 0.2 <= near['u9003'] < 0.5
-    # Half the region's slots are usable: 1.4 halves of the work stay.
+    # Half the slots of the region are usable: 1.4 halves of the load stay.
     assert near['u9004'] / sum(near.values()) == pytest.approx(0.3)
     assert far.keys() == {'u9004'}
--- a/test/test_request_http.py
+++ b/test/test_request_http.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what becomes of the rest."""
+"""Tests of what callers may send, and of the handling of invalid requests."""
 
 import asyncio
 
@@ -16,9 +16,10 @@
 
 
 def send(*data, pause_s=0.0, within_s=200.0, **options):
-    """Send bytes; return all answers that come until the end.
+    """Send bytes; return all answers until the connection ends.
 
-    :param within_s: by then the connection must have ended.
+    :param pause_s: pause after each piece, seconds.
+    :param within_s: time in which the connection must end, seconds.
     """
 
     async def scenario():
@@ -111,7 +112,7 @@
 
 @pytest.mark.parametrize('name', SHAPES)
 def test_refused(name):
-    """Each bad shape gets its number, and no upstream sees it."""
+    """Each invalid request gets its code, and is not sent to an upstream."""
     data, code = SHAPES[name]
     service = manifest.Service(max_body=4000)
     answers, runs = send(data, service=service)
@@ -120,17 +121,18 @@
 
 
 def test_smuggling():
-    """Symptom: a request of one caller is taken for part of another's.
-    Sequence: bytes after a request in doubt look like a further request.
-    Cause: after anything in doubt, nothing more is read.
+    """Guards against request smuggling.
+
+    After an ambiguous request, the bytes that follow it look like another
+    request.  Nothing more must be read from the connection.
     """
     data, _code = SHAPES['both lengths']
     answers, runs = send(data + HEAD + b'\r\n', HEAD + b'\r\n')
     assert (len(answers), len(runs)) == (1, 0)
 
 
-def test_headers_travel():
-    """Hop-by-hop and forged headers stop here; the rest goes on as it is."""
+def test_forwarded_headers():
+    """Hop-by-hop and forged headers are dropped; the others are forwarded."""
     answers, runs = send(
         HEAD
         + b'X-Kept: \xfc a\r\nConnection: close, X-Named\r\nX-Named: 1\r\n'
@@ -156,15 +158,15 @@
 
 
 def test_absolute_target():
-    """The host in the request line goes before the Host header."""
+    """The host in the request line overrides the Host header."""
     line = b'GET http://real:80/portal/x HTTP/1.1\r\nHost: forged\r\n\r\n'
     _answers, runs = send(line)
     assert runs[0].headers['host'] == 'real:80'
     assert runs[0].line.startswith('GET /portal/x ')
 
 
-def test_requests_sent_ahead():
-    """Requests sent ahead of their answers are answered in order."""
+def test_pipelined_requests():
+    """Pipelined requests are answered in order."""
     pieces = b''.join(
         HEAD.replace(b'/x', b'/%d' % n) + b'\r\n' for n in range(30)
     )
@@ -176,7 +178,7 @@
 
 
 def test_continue():
-    """A caller that waits for 100 Continue gets it, or its refusal."""
+    """A caller that waits for 100 Continue gets it, or a refusal."""
     head = POST + b'Expect: 100-continue\r\nContent-Length: 3\r\n\r\n'
     answers, runs = send(head, b'abc', pause_s=0.1)
     assert [answer.status for answer in answers] == [100, 200]
@@ -195,10 +197,10 @@
     ],
 )
 def test_slow_caller(data, code):
-    """Symptom: a few slow callers use up a node's connections.
-    Sequence: a request trickles in and never ends.
-    Cause: head and body must be here in bounded time; until then neither
-    an upstream nor a slot is taken.
+    """Guards against slow callers that use up a node's connections.
+
+    A request arrives very slowly.  Its head and body must arrive in bounded
+    time, and until then occupy neither an upstream nor a slot.
     """
     answers, runs = send(data, within_s=12.0)
     assert [answer.code for answer in answers] == ([code] if code else [])
@@ -206,7 +208,7 @@
 
 
 def test_too_many_connections(monkeypatch):
-    """One connection too many is told so."""
+    """A connection beyond the maximum is refused with a code."""
     monkeypatch.setattr('carawaystair.request.listener.MAX_CONNECTIONS', 0)
     answers, _runs = send(b'')
     assert [answer.code for answer in answers] == ['CS-3016']
@@ -242,7 +244,7 @@
     strategies.lists(TOKENS | strategies.binary(max_size=20), max_size=12)
 )
 def test_any_bytes(pieces):
-    """Whatever comes, answers are numbered and nothing is left behind."""
+    """Whatever is sent, answers have codes and no slot is lost."""
     answers, runs = send(POST + b'\r\n'.join(pieces) + b'\r\n\r\n')
     told = [answer for answer in answers if answer.status != 100]
     assert len(runs) <= len(told) + 1
@@ -252,7 +254,7 @@
 
 
 def test_bounds_are_as_the_page_says():
-    """The page for callers names the bounds in force."""
+    """The page for callers states the bounds of a request head."""
     with open('docs/operate/answers.md') as page:
         text = page.read()
     assert '%d bytes' % http_server.MAX_LINE_BYTES in text
--- a/test/test_request_keyed.py
+++ b/test/test_request_keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key run at most once."""
+"""Tests of requests with an idempotency key, which run at most once."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 def with_key(setup, body=b'pay', **headers):
-    """Ask with the key."""
+    """Send a request with the key."""
     return setup.ask(method='POST', body=body, **{**KEY, **headers})
 
 
@@ -42,11 +42,11 @@
 
 
 def test_caller_repeats_while_it_runs():
-    """Symptom: a payout is made twice.
-    Sequence: a caller loses its connection while its request runs, and
-    repeats it, first while it runs and then after it has.
-    Cause: the key is reserved before the first byte goes out, and the run
-    goes on to its end, whose answer is stored.
+    """Guards against a second run of a request whose caller was disconnected.
+
+    The caller repeats it while it runs and after it has ended.  The key is
+    reserved before the first byte is sent, and the run continues to its end,
+    whose answer is stored.
     """
 
     async def script(upstream, seen, writer):
@@ -71,10 +71,11 @@
     assert len(setup.runs) == 1
 
 
-def test_long_answer_that_nobody_takes():
-    """Symptom: upstreams seem busy for ever.
-    Sequence: the caller of a keyed request leaves before its long answer.
-    Cause: what nobody takes is ended by whoever notices.
+def test_long_answer_of_a_caller_that_left():
+    """Guards against an attempt that never ends.
+
+    The caller of a keyed request leaves before its long answer arrives, which
+    must then be aborted.
     """
 
     async def script(upstream, seen, writer):
@@ -94,11 +95,11 @@
     assert pipes.run(scenario()) == ([0], 1)
 
 
-def test_unknown_end_keeps_the_key():
-    """Symptom: a payout is made twice.
-    Sequence: the upstream dies after it took the request; the caller
-    repeats it with the same key.
-    Cause: a key whose run has no known end is never given back.
+def test_unknown_outcome_keeps_the_key():
+    """Guards against a second run after an unknown outcome.
+
+    The upstream dies after it received the request, and the caller repeats it
+    with the same key, which must stay reserved.
     """
 
     async def script(upstream, seen, writer):
@@ -115,7 +116,7 @@
     assert len(setup.runs) == 1
 
 
-def test_not_run_gives_the_key_back():
+def test_not_run_releases_the_key():
     """A request that was not run may be repeated with its key."""
 
     async def scenario():
@@ -134,13 +135,15 @@
 def test_no_majority():
     """Nothing is sent when the key can't be reserved."""
 
-    class Away(inert.Reservations):
+    class Unreachable(inert.Reservations):
         async def reserve(self, *details):
             return expression.Error(codes.Failure(codes.KEY_NO_MAJORITY))
 
     async def scenario():
         upstream = setups.Upstream(9001)
-        async with setups.running(upstream, reservations=Away()) as setup:
+        async with setups.running(
+            upstream, reservations=Unreachable()
+        ) as setup:
             return await with_key(setup), setup.runs
 
     answer, runs = pipes.run(scenario())
@@ -148,8 +151,8 @@
     assert runs == []
 
 
-def test_long_answer_is_not_kept():
-    """A repeat of a run whose answer was too long says that it ran."""
+def test_long_answer_is_not_stored():
+    """A repeat after an answer that was too long to store says that it ran."""
 
     async def script(upstream, seen, writer):
         writer.write(setups.reply(bytes(200_000)))
--- a/test/test_request_outcomes.py
+++ b/test/test_request_outcomes.py
@@ -1,7 +1,7 @@
-"""What callers are told when a connection dies, at every point.
+"""Tests of the outcomes that callers get when a connection fails.
 
-Each test's upstream records what it ran, so that an outcome can be held
-against the truth.
+Each upstream records the requests that it ran, so that an outcome can be
+compared with what happened.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 def scripted(script, method='POST', others=(), service=None, **options):
-    """Ask once before one scripted upstream and perhaps others."""
+    """Send one request, with one scripted upstream and perhaps others."""
 
     async def scenario():
         upstream = setups.Upstream(9001, script)
@@ -29,12 +29,12 @@
 
 
 async def die(upstream, seen, writer):
-    """Run the request, then end the connection without an answer."""
+    """Run the request, then close the connection without an answer."""
     writer.close()
 
 
 async def refuse(upstream, seen, writer):
-    """Refuse before running, as docs/operate/answers.md has it."""
+    """State that the request was not run, see docs/operate/answers.md."""
     upstream.runs.pop()
     writer.write(
         setups.reply(b'full', 503, Caraway_Outcome='not-run', Retry_After='1')
@@ -42,9 +42,10 @@
 
 
 def test_dies_before_connect():
-    """Symptom: a caller can't tell whether its payout was made.
-    Sequence: the upstream's host is down when the request comes.
-    Cause: none of its bytes can have gone out, which must be said.
+    """Guards against an unknown outcome of a request that was not sent.
+
+    The upstream's host is down when the request arrives, so that no byte can
+    have been sent.
     """
 
     async def scenario():
@@ -60,11 +61,11 @@
     assert setup.outcomes() == {interfaces.REFUSED: 1}
 
 
-def test_connect_is_swallowed():
-    """Symptom: a caller waits for its whole deadline for nothing.
-    Sequence: the network to the upstream drops what is sent.
-    Cause: a connection that nobody answers must be given up early, and a
-    request that was not sent can go to another upstream at once.
+def test_connect_times_out():
+    """Guards against a request that waits for its deadline to connect.
+
+    The network drops everything that is sent to the upstream.  Connecting must
+    time out early, and the request go to another upstream.
     """
 
     async def scenario():
@@ -87,10 +88,10 @@
 
 
 def test_dies_after_connect():
-    """Symptom: a payout is made twice, or a caller is told it was not made.
-    Sequence: the connection ends right after it was made, while the request
-    is on its way.
-    Cause: bytes have been sent, so nobody can know what became of them.
+    """Guards against a wrong outcome, and against a second run.
+
+    The connection ends right after it was opened, while the request is on its
+    way: it was sent, so its outcome is unknown.
     """
 
     async def scenario():
@@ -113,9 +114,10 @@
 
 
 def test_dies_mid_request_body():
-    """Symptom: half a submission counts as a whole one.
-    Sequence: the upstream dies while a long body is passed on to it.
-    Cause: the caller must learn that nobody knows what was done with it.
+    """Guards against a truncated body that counts as a whole one.
+
+    The upstream dies while a long body is streamed to it; the outcome is
+    unknown.
     """
 
     async def scenario():
@@ -140,10 +142,11 @@
 
 
 def test_caller_dies_mid_request_body():
-    """Symptom: an upstream runs half a submission.
-    Sequence: a caller ends its connection in the middle of a long body.
-    Cause: the upstream's connection must break, too, before the declared
-    length is reached.
+    """Guards against an upstream that runs a request with half a body.
+
+    The caller closes its connection in the middle of a long body.  The
+    upstream's connection must be aborted before the declared length is
+    reached.
     """
 
     async def scenario():
@@ -168,9 +171,10 @@
 
 @pytest.mark.parametrize('body', [b'pay', bytes(200_000)])
 def test_dies_after_body(body):
-    """Symptom: a payout is made twice.
-    Sequence: the upstream runs the request and dies before its answer.
-    Cause: an attempt whose end is unknown must not be repeated.
+    """Guards against a second run of a request that may run only once.
+
+    The upstream runs the request and dies before it answers, so that the
+    outcome is unknown.
     """
 
     async def scenario():
@@ -184,9 +188,9 @@
 
 
 def test_dies_before_headers_end():
-    """Symptom: a broken answer reaches a caller.
-    Sequence: the upstream dies within the head of its answer.
-    Cause: an answer that is not whole is none.
+    """Guards against forwarding a truncated answer head.
+
+    The upstream dies while it sends the head of its answer.
     """
 
     async def script(upstream, seen, writer):
@@ -200,9 +204,10 @@
 
 
 def test_dies_mid_answer():
-    """Symptom: a caller takes half an answer for a whole one.
-    Sequence: the upstream dies within the body of a short answer.
-    Cause: short answers are held until they are whole.
+    """Guards against forwarding a truncated answer.
+
+    The upstream dies while it sends a short body.  Short answers are buffered
+    until they are complete.
     """
 
     async def script(upstream, seen, writer):
@@ -217,7 +222,7 @@
 
 
 def test_refused_before_running():
-    """A request that an upstream refused goes to another one."""
+    """A request that an upstream refused is sent to another one."""
     answer, upstream, setup = scripted(refuse, others=[9002], body=b'pay')
     assert (answer.outcome, answer.body) == ('complete', b'u9002')
     assert len(setup.runs) == 1
@@ -228,11 +233,10 @@
 
 
 def test_late_answer():
-    """Symptom: a caller waits past its deadline, or a late payout is
-    repeated.
-    Sequence: the upstream takes longer than the caller has.
-    Cause: the deadline ends the wait; what runs on is accounted for until
-    the upstream lets go.
+    """Guards against waiting past the deadline, and against lost slots.
+
+    The upstream takes longer than the deadline of the request.  Its slot
+    counts as used until it has stopped.
     """
     slots = []
 
@@ -263,13 +267,13 @@
 
 
 def in_flight(setup):
-    """Return the attempts that count at upstreams."""
+    """Return the number of attempts in flight at all upstreams."""
     targets = setup.sender.selector.targets.values()
     return sum(target.in_flight for target in targets)
 
 
-def test_deadline_travels():
-    """What is left of the deadline goes upstream; none left is not run."""
+def test_deadline_is_forwarded():
+    """The time that is left is sent upstream; without any, nothing is sent."""
 
     async def scenario():
         async with setups.running(setups.Upstream(9001)) as setup:
@@ -283,11 +287,11 @@
     assert len(runs) == 1
 
 
-def test_caller_goes_away():
-    """Symptom: upstreams work for callers that have gone.
-    Sequence: a caller hangs up while its request runs.
-    Cause: the upstream must be told, and its slot counts until it has
-    stopped.
+def test_caller_leaves():
+    """Guards against upstreams that work for callers that have left.
+
+    The caller closes its connection while its request runs.  The upstream's
+    connection is closed, and its slot counts as used until it has stopped.
     """
 
     async def script(upstream, seen, writer):
@@ -315,9 +319,9 @@
 
 
 def test_answer_of_another_request():
-    """Symptom: a caller reads what belongs to someone else.
-    Sequence: an upstream answers a request with the answer of another one.
-    Cause: an upstream that names the request lets us see that.
+    """Guards against disclosing an answer to another caller.
+
+    The upstream sends an answer with the id of another request.
     """
 
     async def script(upstream, seen, writer):
@@ -329,10 +333,10 @@
 
 
 def test_answer_without_a_request():
-    """Symptom: a caller reads the answer to an earlier request.
-    Sequence: an upstream answers twice; the second answer waits on the idle
-    connection when the next request comes.
-    Cause: a connection on which something came unasked is never used.
+    """Guards against answers that reach the caller of a later request.
+
+    The upstream answers twice, and the second answer arrives on the idle
+    connection, which must not be used again.
     """
 
     async def script(upstream, seen, writer):
@@ -365,7 +369,7 @@
     ],
 )
 def test_answer_is_malformed(data):
-    """An answer whose end is in doubt is not passed on."""
+    """An answer without an unambiguous end is not forwarded."""
 
     async def script(upstream, seen, writer):
         writer.write(data)
@@ -379,10 +383,10 @@
     assert setup.outcomes() == {interfaces.BROKEN: 1}
 
 
-def test_storm():
-    """Symptom: attempts outnumber requests while everything fails.
-    Sequence: all upstreams answer every request with an error.
-    Cause: retries are paid from a budget that only first attempts fill.
+def test_retry_storm():
+    """Guards against retry storms while all upstreams fail.
+
+    Retries are paid from a budget that only first attempts fill.
     """
 
     async def script(upstream, seen, writer):
@@ -401,8 +405,8 @@
     assert len(runs) >= 300 + 30
 
 
-def test_retry_goes_elsewhere():
-    """A retry goes to an upstream that has not had the request."""
+def test_retry_uses_another_upstream():
+    """A retry goes to an upstream that has not been tried."""
 
     async def script(upstream, seen, writer):
         writer.write(setups.reply(b'no', 502))
@@ -422,12 +426,11 @@
     assert (answer.body, runs) == (b'u9002', 1)
 
 
-def test_caller_spoils_its_body():
-    """Symptom: an upstream runs half a submission.
-    Sequence: a long body in chunks turns out to be malformed while it is
-    passed on.
-    Cause: the upstream's connection must break before the body's end, and
-    the upstream is not to blame.
+def test_caller_sends_malformed_body():
+    """Guards against an upstream that runs a request with half a body.
+
+    A long chunked body becomes malformed while it is streamed.  The upstream's
+    connection must be aborted, and the failure not count against the upstream.
     """
 
     async def scenario():
@@ -452,11 +455,11 @@
     assert setup.outcomes() == {interfaces.CANCELLED: 1}
 
 
-def test_non_idempotent_rides_on_live_connections_only():
-    """Symptom: a payout's outcome is unknown for no fault of the upstream.
-    Sequence: it is sent on a connection that died while it was idle.
-    Cause: what may not run twice uses a new connection, or one that has
-    just carried an answer.
+def test_non_idempotent_uses_recently_used_connections_only():
+    """Guards against unknown outcomes because of stale connections.
+
+    A connection that died while idle must not be used for a request that may
+    run only once: that one needs a new or recently used connection.
     """
 
     async def scenario():
@@ -476,9 +479,10 @@
 
 
 def test_drain_while_connecting(monkeypatch):
-    """Symptom: an upstream that is leaving gets new work.
-    Sequence: it begins to leave while a connection to it is being made.
-    Cause: its state is looked at once more before the first byte.
+    """Guards against new requests to an upstream that is leaving.
+
+    It begins to leave while a connection to it is opened, so its state must be
+    checked again before the first byte is sent.
     """
     monkeypatch.setattr(invariants, 'RAISE', True)
 
@@ -499,7 +503,7 @@
 
 
 def test_no_upstream():
-    """Without an upstream the answer says so at once."""
+    """Without an upstream, a request is refused at once."""
 
     async def scenario():
         async with setups.running() as setup:
--- a/test/test_request_promises.py
+++ b/test/test_request_promises.py
@@ -1,4 +1,4 @@
-"""The promises to callers, as scenarios."""
+"""Scenarios of the outcomes that callers are promised (answers.feature)."""
 
 import pytest
 import pytest_bdd
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def asked():
-    """Return what callers ask."""
+    """Return the requests of the callers."""
     return []
 
 
@@ -51,7 +51,7 @@
     parsers.parse('the caller is told {outcome}'), target_fixture='runs'
 )
 def then_told(kinds, asked, outcome):
-    """Run it all; the last answer counts."""
+    """Run the scenario and compare the last answer's outcome."""
 
     async def scenario():
         upstreams = [
@@ -72,5 +72,5 @@
 
 @pytest_bdd.then(parsers.parse('the payout has run {count:d} times'))
 def then_runs(runs, count):
-    """Compare what ran."""
+    """Compare the number of runs."""
     assert runs == count
--- a/test/test_request_random.py
+++ b/test/test_request_random.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the path: everything goes wrong, promises hold."""
+"""Randomised tests of the request path with faults of all kinds."""
 
 import asyncio
 import collections
@@ -30,9 +30,9 @@
 
 
 class World:
-    """Upstreams that misbehave at random, and the truth of what they ran.
+    """Upstreams that fail at random, and a record of what they ran.
 
-    :param seed: of all randomness.
+    :param seed: seed of all randomness.
     """
 
     def __init__(self, seed: int) -> None:
@@ -45,7 +45,7 @@
         self.calm = False
 
     async def script(self, upstream, seen, writer) -> None:
-        """Answer one request, or not."""
+        """Answer one request, or fail."""
         marker = seen.headers['x-marker']
         fates, weights = zip(*FATES, strict=True)
         fate = self.random.choices(fates, weights)[0]
@@ -67,7 +67,7 @@
             await self.answer(fate, seen, marker, writer)
 
     async def answer(self, fate, seen, marker, writer) -> None:
-        """Answer with a bundle, or with the request's own marker."""
+        """Answer with a bundle, or with the request's marker."""
         headers = {'X-Marker': marker}
         status, body = 200, ('<%s>' % marker).encode()
         if '/bulk' in seen.line:
@@ -89,7 +89,7 @@
             writer.write(data * (2 if fate == 'twice' else 1))
 
     async def caller(self, number: int, setup) -> None:
-        """Ask again and again, now and then hanging up."""
+        """Send requests one after another; disconnect now and then."""
         for turn in range(ASKS):
             marker = 'm%d-%d' % (number, turn)
             kind = self.random.choice(('get', 'get', 'post', 'key', 'bulk'))
@@ -102,7 +102,7 @@
             self.told.append((kind, marker, answer))
 
     def ask(self, setup, kind: str, marker: str):
-        """Ask once."""
+        """Send one request."""
         options = {'X_Marker': marker, 'Caraway_Deadline_Ms': '2000'}
         if kind in ('post', 'key'):
             options['method'] = 'POST'
@@ -113,8 +113,8 @@
         path = '/bulk/x' if kind == 'bulk' else '/portal/x'
         return setup.ask(path, **options)
 
-    async def meddle(self, setup) -> None:
-        """Drain upstreams, bring them back, and lose connections."""
+    async def inject_faults(self, setup) -> None:
+        """Drain and restore upstreams, and let connections go silent."""
         while not self.calm:
             await asyncio.sleep(self.random.expovariate(5.0))
             upstream = self.random.choice(self.upstreams)
@@ -127,20 +127,21 @@
 
 @pytest.mark.parametrize('seed', range(1, 7))
 def test_promises_hold(seed, capsys):
-    """Symptom: any broken promise, found by chance.
-    Sequence: random faults of upstreams, connections and callers at once.
-    Cause: named by the seed; a run with the same seed is the same.
+    """Guards against any violated promise, found at random.
+
+    Upstreams, connections and callers fail at the same time.  Runs with the
+    same seed are identical.
     """
     world = World(seed)
 
     async def scenario():
         async with setups.running(*world.upstreams, routes=BULK) as setup:
-            meddler = asyncio.create_task(world.meddle(setup))
+            injector = asyncio.create_task(world.inject_faults(setup))
             await asyncio.gather(
                 *(world.caller(number, setup) for number in range(CALLERS))
             )
             world.calm = True
-            await meddler
+            await injector
             await asyncio.sleep(10.0)
             return setup
 
--- a/test/test_request_lifetimes.py
+++ b/test/test_request_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, in fleets without gateways."""
+"""Tests of upstreams that restart under their id, without gateways."""
 
 import asyncio
 
@@ -8,12 +8,11 @@
 from test import request_setup as setups
 
 
-def test_kept_connections_are_those_of_one_life():
-    """Symptom: a request that may run once is sent on a connection of a life
-    that has ended.
-    Sequence: connections are kept, and one is in use, while the upstream
-    starts again.
-    Cause: the one in use was given back to the new life.
+def test_pooled_connections_belong_to_one_incarnation():
+    """Guards against requests on connections to a former incarnation.
+
+    While the upstream restarts, connections are pooled and one is in use.  The
+    latter must not return to the pool of the new incarnation.
     """
 
     async def slow(upstream, seen, writer):
@@ -38,11 +37,11 @@
     assert after == before + 1
 
 
-def test_target_of_the_new_life_begins_clean_and_cold():
-    """Symptom: an upstream that has just started is taken for slow, and for
-    warm.
-    Sequence: late answers and work in progress, then a start under its id.
-    Cause: they stood with the id.
+def test_target_of_new_incarnation_starts_clean_and_cold():
+    """Guards against measuring a new incarnation by its predecessor.
+
+    Late answers, work in progress and the end of the warm-up belong to the
+    former incarnation and not to the id.
     """
 
     async def hang(upstream, seen, writer):
@@ -73,21 +72,21 @@
     assert found == (True, interfaces.GONE, 0, [], 0.0, True)
 
 
-def test_end_of_a_former_life_elsewhere_ends_nothing():
-    """Symptom: a sound upstream is no longer chosen.
-    Sequence: an id goes on at another host; its former one says that it is
+def test_end_of_former_incarnation_elsewhere_is_ignored():
+    """Guards against discarding a healthy upstream that moved to another host.
+
+    Its id continues at the new host when the former incarnation is reported as
     gone.
-    Cause: the id was taken for unique.
     """
 
     async def scenario():
         upstream = setups.Upstream(9001)
         async with setups.running(upstream) as setup:
             selector = setup.sender.selector
-            stands = setups.announce(upstream, incarnation=9)
-            setup.directory.put(stands)
-            target = selector.target(stands, clock.now())
-            former = stands._replace(
+            current = setups.announce(upstream, incarnation=9)
+            setup.directory.put(current)
+            target = selector.target(current, clock.now())
+            former = current._replace(
                 incarnation=5, host='h0', state=interfaces.GONE
             )
             selector.on_change(former)
--- a/test/test_request_stop.py
+++ b/test/test_request_stop.py
@@ -1,4 +1,4 @@
-"""A stop cuts off no request in flight."""
+"""Tests that a stop cuts off no request in flight."""
 
 import asyncio
 
@@ -12,17 +12,18 @@
 
 
 async def slow(upstream, seen, writer):
-    """Answer after a second, long transfers after four."""
+    """Answer after one second, bulk transfers after four."""
     await asyncio.sleep(4.0 if '/bulk' in seen.line else 1.0)
     size = 500_000 if '/bulk' in seen.line else 2
     writer.write(setups.reply(bytes(size)))
 
 
 def test_stop():
-    """Symptom: a deployment breaks downloads and payouts.
-    Sequence: a node stops while requests are in flight and others arrive.
-    Cause: what is in flight is finished; what comes on open connections is
-    answered if it can't be cut, else refused before it starts.
+    """Guards against deployments that break requests.
+
+    A node stops while requests are in flight and others arrive.  Those in
+    flight are finished.  Those that arrive on open connections are answered
+    if they end before the stop, and refused otherwise.
     """
 
     async def scenario():
@@ -46,7 +47,7 @@
             with pytest.raises(ConnectionRefusedError):
                 await setup.ask()
             late = await setups.ask(*open_one, Caraway_Deadline_Ms='2000')
-            # None may have more time than a stop gives.
+            # No deadline may exceed the time that a stop waits.
             assert {
                 float(seen.headers['caraway-deadline-ms']) <= 6000.0
                 for seen in setup.runs
@@ -66,9 +67,9 @@
 
 
 def test_stop_has_an_end():
-    """Symptom: a node can't be stopped.
-    Sequence: a request in flight does not end.
-    Cause: after drain_s what is left is broken, visibly.
+    """Guards against a node that can't be stopped.
+
+    A request in flight does not end, and is broken off visibly after drain_s.
     """
 
     async def never(upstream, seen, writer):
@@ -93,11 +94,11 @@
 
 
 def test_upstream_leaves():
-    """Symptom: a deployment of an upstream breaks requests, or hangs.
-    Sequence: it announces that it leaves while it has requests in flight,
-    and stops when the last of its connections has ended.
-    Cause: what is in flight ends by itself, and its connections are not
-    kept for later.
+    """Guards against upstream deployments that break requests or hang.
+
+    An upstream that is leaving has requests in flight, and stops once its last
+    connection is closed.  The requests end normally, and their connections are
+    not pooled.
     """
 
     async def scenario():
@@ -122,7 +123,7 @@
 
 
 def test_not_ready():
-    """A node without a configuration says so."""
+    """A node without a configuration refuses requests."""
 
     async def scenario():
         async with setups.running(setups.Upstream(9001)) as setup:
@@ -135,7 +136,7 @@
 
 
 def test_stop_waits_until_a_slow_caller_has_its_answer():
-    """Guards against an answer that a stop cuts off while it is sent."""
+    """Guards against an answer that a stop cuts off while it is written."""
     body = b'x' * 48_000
 
     async def big(upstream, seen, writer):
@@ -150,7 +151,7 @@
             writer.write(head + b'\r\n\r\n')
             await asyncio.sleep(0.2)
             stopping = asyncio.create_task(setup.path.stop())
-            # Not in the moment in which the stop looks at it.
+            # Not at a moment when the stop polls the listener.
             await asyncio.sleep(1.005)
             writer.transport.resume_reading()
             await reader.readuntil(b'\r\n\r\n')
--- a/test/test_request_whole.py
+++ b/test/test_request_transfer.py
@@ -1,4 +1,4 @@
-"""Answers come whole or visibly broken, and long ones go on elsewhere."""
+"""Tests that long answers arrive complete or visibly broken."""
 
 import asyncio
 
@@ -12,17 +12,20 @@
 BULK = (manifest.Route('/bulk', 'portal', kind='bulk'),)
 
 
-def serving(body=BODY, etag='"v1"', cut=None, stall=False, wary=True, **more):
+def serving(
+    body=BODY, etag='"v1"', cut=None, stall=False, checks_etag=True, **more
+):
     """Return a script that serves a body with ranges, perhaps broken off.
 
-    :param cut: bytes after which whole answers end early.
-    :param wary: whether it heeds ``If-Range``.
+    :param cut: bytes after which complete answers end early.
+    :param stall: whether it sends nothing after that instead of closing.
+    :param checks_etag: whether it respects ``If-Range``.
     """
 
     async def script(upstream, seen, writer):
         headers = {'ETag': etag, **more}
         part = seen.headers.get('range')
-        same = not wary or seen.headers.get('if-range') == etag
+        same = not checks_etag or seen.headers.get('if-range') == etag
         if part is not None and same:
             start = int(part.split('=')[1].split('-')[0])
             total = '%d-%d/%d' % (start, len(body) - 1, len(body))
@@ -42,7 +45,7 @@
 
 
 def fetch(*scripts, **options):
-    """Ask for a long answer; the first upstream is asked first."""
+    """Send a request for a long answer; the first upstream is tried first."""
 
     async def scenario():
         upstreams = [
@@ -68,10 +71,11 @@
 
 
 @pytest.mark.parametrize('stall', [False, True])
-def test_goes_on_elsewhere(stall):
-    """Symptom: a bundle is late because its download broke.
-    Sequence: the upstream breaks off, or goes silent, in the middle.
-    Cause: another one has the same strong ETag, so the rest is asked of it.
+def test_resumes_at_another_upstream(stall):
+    """Guards against a download that is lost with its upstream.
+
+    The upstream breaks off or goes silent in the middle.  Another one has the
+    same strong ETag, so that the rest is requested from it.
     """
     cut = 400_000
     answer, setup = fetch(serving(cut=cut, stall=stall), serving())
@@ -88,17 +92,16 @@
     'other',
     [
         serving(etag='"v2"'),
-        serving(etag='"v2"', wary=False),
+        serving(etag='"v2"', checks_etag=False),
         serving(body=BODY[:-1]),
         serving(Content_Encoding='gzip'),
     ],
 )
-def test_never_mixed(other):
-    """Symptom: a certificate bundle holds bytes of two revisions.
-    Sequence: the upstream breaks off; the other one has another revision,
-    length or encoding.
-    Cause: only the same representation may go on; else the caller's
-    connection breaks, and never looks as if the answer were whole.
+def test_revisions_are_never_mixed(other):
+    """Guards against an answer with bytes of two revisions.
+
+    The upstream breaks off, and the other one has another revision, length or
+    encoding.  The caller's connection must be aborted.
     """
     answer, _setup = fetch(serving(cut=400_000), other)
     assert not answer.ended
@@ -108,16 +111,16 @@
 
 @pytest.mark.parametrize('etag', ['W/"v1"', ''])
 def test_breaks_visibly(etag):
-    """Without a strong ETag a broken answer breaks for the caller, too."""
+    """Without a strong ETag, a broken answer breaks for the caller, too."""
     answer, setup = fetch(serving(cut=400_000, etag=etag), serving())
     assert not answer.ended
     assert len(setup.runs) == 1
 
 
 def test_non_idempotent_is_not_resumed():
-    """Symptom: a payout is made twice.
-    Sequence: the long answer to it breaks off.
-    Cause: asking for the rest would run it again.
+    """Guards against a second run of a request that may run only once.
+
+    Its long answer breaks off; requesting the rest would run it again.
     """
     answer, setup = fetch(serving(cut=400_000), serving(), method='POST')
     assert not answer.ended
@@ -125,7 +128,7 @@
 
 
 def test_callers_range_is_resumed():
-    """A caller's own range goes on where it broke, within that range."""
+    """A range that the caller requested is resumed within that range."""
 
     async def broken(upstream, seen, writer):
         data = setups.reply(
@@ -150,7 +153,7 @@
 
 
 def test_chunks_without_length():
-    """A long answer in chunks passes; one that ends early breaks."""
+    """A long chunked answer is forwarded; one that ends early breaks."""
 
     def script(end):
         async def chunked(upstream, seen, writer):
@@ -168,10 +171,10 @@
 
 
 def test_memory_is_bounded():
-    """Symptom: a node runs out of memory serving slow callers.
-    Sequence: a caller asks for a long answer and does not read it.
-    Cause: the upstream is read no faster than the caller reads; a caller
-    that takes nothing for long is let go.
+    """Guards against slow callers that use up the memory of a node.
+
+    A caller requests a long answer and does not read it.  The upstream is read
+    no faster than the caller reads, and the caller is disconnected in the end.
     """
 
     async def scenario():
@@ -182,18 +185,18 @@
             writer.write(b'GET /bulk/x HTTP/1.1\r\nHost: h\r\n\r\n')
             await asyncio.sleep(5.0)
             made = asyncio.get_running_loop().made
-            passed = made[1].peer.written - made[1].peer.queued
+            read_bytes = made[1].peer.written - made[1].peer.queued
             stalled = setup.admission.held
             await asyncio.sleep(40.0)
-            return passed, stalled, setup.admission.held
+            return read_bytes, stalled, setup.admission.held
 
-    passed, stalled, held = pipes.run(scenario())
-    assert passed < 1_000_000
+    read_bytes, stalled, held = pipes.run(scenario())
+    assert read_bytes < 1_000_000
     assert (stalled, held) == (1, 0)
 
 
 def test_head_and_bodiless_statuses():
-    """HEAD, 204 and 304 have no body; lengths pass where they may."""
+    """HEAD, 204 and 304 have no body; lengths are forwarded where allowed."""
 
     async def script(upstream, seen, writer):
         status = int(seen.line.split('/')[2].split()[0])
