--- a/carawaystair/quarantine/crash_detection.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -65,53 +65,53 @@
             return
         now = clock.now()
         name = target.upstream.id
-        found = self.suspected.get(name)
+        suspect = self.suspected.get(name)
         if (
-            found is None
-            or found.incarnation != incarnation_id(target.upstream)
-            or now - found.first_at > GROUPING_S
+            suspect is None
+            or suspect.incarnation != incarnation_id(target.upstream)
+            or now - suspect.first_at > GROUPING_S
         ):
             self._discard(name)
-            found = self.suspected[name] = SuspectedCrash(target, now)
-            found.task = asyncio.ensure_future(self._probe(found))
-        found.requests[digest] = request
+            suspect = self.suspected[name] = SuspectedCrash(target, now)
+            suspect.task = asyncio.ensure_future(self._probe(suspect))
+        suspect.requests[digest] = request
 
     def incarnation_ended(self, target: targets.Target, left: bool) -> None:
         """Handle the end of an incarnation of an upstream.
 
         :param left: whether the upstream announced that it is leaving.
         """
-        found = self.suspected.get(target.upstream.id)
-        if found is None or found.target is not target:
+        suspect = self.suspected.get(target.upstream.id)
+        if suspect is None or suspect.target is not target:
             return
-        if left or clock.now() - found.first_at > CONFIRM_TIMEOUT_S:
+        if left or clock.now() - suspect.first_at > CONFIRM_TIMEOUT_S:
             self._discard(target.upstream.id)
         else:
-            self._confirm(found, FOLLOWED)
+            self._confirm(suspect, FOLLOWED)
 
-    async def _probe(self, found: SuspectedCrash) -> None:
+    async def _probe(self, suspect: SuspectedCrash) -> None:
         """Confirm the crash if the upstream refuses new connections."""
         for pause_s in PROBE_DELAYS_S:
             await asyncio.sleep(pause_s)
-            if await _refuses_connection(found.target):
+            if await _refuses_connection(suspect.target):
                 # All connections that broke at the same moment have been
                 # recorded by now.
-                self._confirm(found, REFUSED)
+                self._confirm(suspect, REFUSED)
                 return
 
-    def _confirm(self, found: SuspectedCrash, how: str) -> None:
-        target = found.target
-        if self.suspected.get(target.upstream.id) is not found:
+    def _confirm(self, suspect: SuspectedCrash, how: str) -> None:
+        target = suspect.target
+        if self.suspected.get(target.upstream.id) is not suspect:
             return
         self._discard(target.upstream.id)
         self.quarantine.record_crash(
-            found.incarnation, found.requests, target.has_served, how
+            suspect.incarnation, suspect.requests, target.has_served, how
         )
 
     def _discard(self, name: str) -> None:
-        found = self.suspected.pop(name, None)
-        if found is not None and found.task is not asyncio.current_task():
-            found.task.cancel()
+        suspect = self.suspected.pop(name, None)
+        if suspect is not None and suspect.task is not asyncio.current_task():
+            suspect.task.cancel()
 
 
 def incarnation_id(upstream: interfaces.Upstream) -> str:
--- a/carawaystair/request/attempt.py
+++ b/carawaystair/request/attempt.py
@@ -19,7 +19,7 @@
 # Bodies up to this length are buffered whole, so that a request can be retried
 # when its answer breaks off; longer ones are streamed to the caller.
 MAX_BUFFERED_BYTES = 128 * 1024
-BROKEN = (aiohttp.ClientError, ConnectionError, OSError)
+CONNECTION_ERRORS = (aiohttp.ClientError, ConnectionError, OSError)
 
 
 class Attempt:
@@ -229,7 +229,7 @@
             raise
         except http_exceptions.HttpProcessingError as error:
             raise self._failure(codes.ANSWER_MALFORMED, error) from None
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise self._failure(codes.ANSWER_LOST, error) from None
 
     def _failure(self, code: codes.Code, error: object) -> answers.Failed:
--- a/carawaystair/request/budget.py
+++ b/carawaystair/request/budget.py
@@ -18,12 +18,12 @@
 class Budget:
     """The retry budget of one service on this node."""
 
-    __slots__ = ('firsts', 'refused', 'spent', 'tokens')
+    __slots__ = ('first_attempts', 'refused', 'spent', 'tokens')
 
     def __init__(self) -> None:
         self.tokens = CAPACITY
         # Counters for the metrics.
-        self.firsts = 0
+        self.first_attempts = 0
         self.spent = 0
         self.refused = 0
 
@@ -32,7 +32,7 @@
 
         :param percent: further attempts allowed for a hundred first ones.
         """
-        self.firsts += 1
+        self.first_attempts += 1
         self.tokens = min(self.tokens + percent / 100, CAPACITY)
 
     def spend(self, kept: float = 0.0) -> bool:
--- a/carawaystair/request/headers.py
+++ b/carawaystair/request/headers.py
@@ -80,24 +80,24 @@
     return b''.join(kept)
 
 
-def connection_value(given) -> str | None:
+def connection_value(fields) -> str | None:
     """Return all values of ``Connection``, joined by commas.
 
-    :param given: a multidict of the headers.
+    :param fields: a multidict of the headers.
     """
-    if 'Connection' not in given:
+    if 'Connection' not in fields:
         return None
-    return ','.join(given.getall('Connection'))
+    return ','.join(fields.getall('Connection'))
 
 
-def request_head(method: str, path: str, given, raw: Raw) -> bytes:
+def request_head(method: str, path: str, fields, raw: Raw) -> bytes:
     """Return the request line and the lines of the headers to forward.
 
-    :param given: the headers as they arrived, for ``Connection``.
+    :param fields: the headers as they arrived, for ``Connection``.
     :param raw: those of them that may be forwarded.
     """
     first = '%s %s HTTP/1.1\r\n' % (method, path)
-    return first.encode() + forwarded_lines(raw, connection_value(given))
+    return first.encode() + forwarded_lines(raw, connection_value(fields))
 
 
 def value(raw: Raw, wanted: bytes) -> bytes | None:
--- a/carawaystair/request/http_client.py
+++ b/carawaystair/request/http_client.py
@@ -119,13 +119,13 @@
         Creating a timer for every wait would cost more than the wait
         itself.  This one is set again when it fires too early.
         """
-        ready = self.head_waiter = self.loop.create_future()
+        waiter = self.head_waiter = self.loop.create_future()
         self._set_timer(until)
         try:
-            if not await ready:
+            if not await waiter:
                 raise TimeoutError
         finally:
-            if self.head_waiter is ready:
+            if self.head_waiter is waiter:
                 self.head_waiter = None
 
     def _on_timer(self) -> None:
@@ -137,10 +137,10 @@
         else:
             self._wake(False)
 
-    def _wake(self, came: bool) -> None:
-        ready = self.head_waiter
-        if ready is not None and not ready.done():
-            ready.set_result(came)
+    def _wake(self, arrived: bool) -> None:
+        waiter = self.head_waiter
+        if waiter is not None and not waiter.done():
+            waiter.set_result(arrived)
 
     # Callbacks from asyncio
 
--- a/carawaystair/request/sender.py
+++ b/carawaystair/request/sender.py
@@ -190,7 +190,7 @@
         for service, budget in self.budgets.items():
             label = ('service', service)
             for kind, count in (
-                ('first', budget.firsts),
+                ('first', budget.first_attempts),
                 ('further', budget.spent),
             ):
                 labels = (label, ('kind', kind))
--- a/carawaystair/request/transfer.py
+++ b/carawaystair/request/transfer.py
@@ -33,7 +33,7 @@
 BUDGET_WAIT_S = 2.0
 BUDGET_POLL_S = 0.1
 CONTENT_RANGE = re.compile(rb'bytes (\d+)-(\d+)/(\d+)')
-BROKEN = (
+UPSTREAM_ERRORS = (
     aiohttp.ClientError,
     http_exceptions.HttpProcessingError,
     ConnectionError,
@@ -101,7 +101,7 @@
         self.permit = permit
         self.range = byte_range(call, answer)
         self.attempt: attempts.Attempt | None = answer.rest
-        self.bytes_passed = 0
+        self.bytes_sent = 0
         self.tried: list[str] = []
 
     async def run(self) -> bool:
@@ -118,7 +118,7 @@
             await self._write(self.answer.body)
             await self._stream()
             return True
-        except BROKEN:
+        except UPSTREAM_ERRORS:
             self.exchange.abort()
             return False
         except TransferError:
@@ -135,7 +135,7 @@
         while True:
             try:
                 await self._read()
-            except BROKEN as error:
+            except UPSTREAM_ERRORS as error:
                 self._record_broken(error)
                 if not await self._resume():
                     raise
@@ -161,7 +161,7 @@
             await self._write(chunk)
 
     async def _write(self, chunk: bytes) -> None:
-        self.bytes_passed += len(chunk)
+        self.bytes_sent += len(chunk)
         if self.range.end is not None and self._next_byte > self.range.end:
             raise TransferError('answer longer than declared')
         try:
@@ -254,7 +254,7 @@
     @property
     def _next_byte(self) -> int:
         """Return the offset of the next byte for the caller."""
-        return self.range.start + self.bytes_passed
+        return self.range.start + self.bytes_sent
 
     def _continues(self, call: calls.Call, answer: answers.Answer) -> bool:
         """Return whether an answer is exactly the rest for the caller."""
--- a/carawaystair/request/validation.py
+++ b/carawaystair/request/validation.py
@@ -119,7 +119,7 @@
     target: RequestTarget,
     match: routings.Match,
     get_customer: typing.Callable[[str], typing.Any],
-    name: str,
+    own_id: str,
     host: str,
     now: float,
     max_duration_s: float,
@@ -127,16 +127,16 @@
     """Read the head of a request.
 
     :param get_customer: returns a customer's entry in the manifest, or None.
-    :param name: the id that this node gave the request.
+    :param own_id: the id that this node gave the request.
     :param host: the host of this node.
     :param max_duration_s: upper bound of the time to its deadline, seconds.
     :raises Refused: when a header is invalid or the request loops.
     """
-    given = request.headers
+    fields = request.headers
     method = request.method
-    if 'Via' in given and _looped(given.getall('Via'), host):
+    if 'Via' in fields and _looped(fields.getall('Via'), host):
         raise Refused(codes.LOOP)
-    customer = _customer(given)
+    customer = _customer(fields)
     idempotent = match.route.idempotent
     if idempotent is None:
         idempotent = method not in NON_IDEMPOTENT
@@ -146,14 +146,14 @@
         customer if customer and get_customer(customer) else manifest.OTHER
     )
     return calls.Call(
-        _request_id(given, name),
+        _request_id(fields, own_id),
         match,
         customer,
         charged,
         now
-        + min(read_timeout_ms(given, match.service) / 1000, max_duration_s),
+        + min(read_timeout_ms(fields, match.service) / 1000, max_duration_s),
         idempotent,
-        '' if idempotent else _key(given),
+        '' if idempotent else _key(fields),
         method,
         target.path,
         upstream_head(request, target, customer, host),
@@ -182,16 +182,16 @@
     return first + last.encode()
 
 
-def _single(given, name: str, code: codes.Code) -> str | None:
+def _single(fields, name: str, code: codes.Code) -> str | None:
     """Return the value of a header that must not be repeated."""
-    value = given.get(name)
-    if value is not None and len(given.getall(name)) > 1:
+    value = fields.get(name)
+    if value is not None and len(fields.getall(name)) > 1:
         raise Refused(code, 'header is repeated')
     return value
 
 
-def _customer(given) -> str:
-    value = _single(given, headers.CUSTOMER, codes.CUSTOMER_INVALID)
+def _customer(fields) -> str:
+    value = _single(fields, headers.CUSTOMER, codes.CUSTOMER_INVALID)
     if value is None:
         return ''
     if not CUSTOMER_PATTERN.fullmatch(value):
@@ -199,8 +199,8 @@
     return value
 
 
-def _key(given) -> str:
-    value = _single(given, headers.IDEMPOTENCY_KEY, codes.KEY_INVALID)
+def _key(fields) -> str:
+    value = _single(fields, headers.IDEMPOTENCY_KEY, codes.KEY_INVALID)
     if value is None:
         return ''
     if not KEY_PATTERN.fullmatch(value):
@@ -209,13 +209,13 @@
 
 
 def read_timeout_ms(
-    given, service: manifest.Service, name: str = headers.DEADLINE
+    fields, service: manifest.Service, name: str = headers.DEADLINE
 ) -> int:
     """Return the time until the deadline of a request, in ms.
 
     :param name: the header that carries it.
     """
-    value = _single(given, name, codes.DEADLINE_INVALID)
+    value = _single(fields, name, codes.DEADLINE_INVALID)
     if value is None:
         return service.timeout_ms
     if not DEADLINE_PATTERN.fullmatch(value) or int(value) > MAX_DEADLINE_MS:
@@ -225,16 +225,16 @@
     return int(value)
 
 
-def _request_id(given, name: str) -> str:
+def _request_id(fields, own_id: str) -> str:
     """Return the caller's id followed by this node's, or only the latter.
 
     This node's id is always part of it, because a caller may use its own id
     more than once.
     """
-    value = given.get(headers.REQUEST_ID)
+    value = fields.get(headers.REQUEST_ID)
     if value is None or not ID_PATTERN.fullmatch(value):
-        return name
-    return '%s.%s' % (value, name)
+        return own_id
+    return '%s.%s' % (value, own_id)
 
 
 def _looped(values: typing.Iterable[str], host: str) -> bool:
