--- a/carawaystair/quarantine/dissemination.py
+++ b/carawaystair/quarantine/dissemination.py
@@ -1,8 +1,8 @@
-"""Passes facts about crashes on to the neighbours in the overlay.
+"""Distributes facts about crashes to the neighbours in the overlay.
 
-One task feeds each neighbour.  It begins with an exchange of all that either
-end knows, so that a process that starts or was cut off catches up, and then
-sends what is new until that is acknowledged.
+One task serves each neighbour.  It starts with an exchange of all facts that
+either side knows, so that a process that has just started or was partitioned
+catches up, and then sends new facts until they are acknowledged.
 """
 
 import asyncio
@@ -16,71 +16,73 @@
 from carawaystair.membership import ring
 from carawaystair.quarantine import messages
 
-# What is not acknowledged in this time is sent again, seconds.
+# Facts that are not acknowledged within this time are sent again.
 RETRY_S = 0.25
-# After so many failures in a row the pause grows.
-PATIENCE = 8
+# After more consecutive failures than this, retries pause for BACKOFF_S.
+MAX_FAST_RETRIES = 8
 BACKOFF_S = 2.0
-# Facts in one message, and the bytes that one takes at most.
-MOST_FACTS = 100
+# Facts in one message, and the largest encoded size of one.
+MAX_FACTS = 100
 FACT_BYTES = 120
-# Bytes per second to one neighbour.
-RATE = 64 * 1024
-# The overlay follows the members at most this often, seconds.
-SETTLE_S = 1.0
+# Rate limit for the facts sent to one neighbour.
+RATE_BYTES_PER_S = 64 * 1024
+# Time between two adaptations of the feeds to changed members, at least.
+MIN_UPDATE_INTERVAL_S = 1.0
 
-# Names a fact: a digest and the upstream that crashed.
+# Identifies a fact: digest of the request, incarnation that crashed.
 Key = tuple[str, str]
 
 
 class Feed:
-    """What waits for one neighbour.
+    """The facts to be sent to one neighbour.
 
-    :param address: where it takes messages.
-    :param incarnation: of its process.
+    :param address: address for messages to the neighbour.
+    :param incarnation: incarnation of its process.
     """
 
     def __init__(self, address: str, incarnation: int) -> None:
         self.address = address
         self.incarnation = incarnation
-        self.waiting: dict[Key, None] = {}
+        self.pending: dict[Key, None] = {}
         self.event = asyncio.Event()
         self.task: asyncio.Task | None = None
 
     def add(self, keys: typing.Iterable[Key]) -> None:
-        """Let facts wait."""
-        self.waiting |= dict.fromkeys(keys)
+        """Queue facts for sending."""
+        self.pending |= dict.fromkeys(keys)
         self.event.set()
 
 
-class Source(typing.Protocol):
-    """What knows facts and takes those of others."""
+class FactStore(typing.Protocol):
+    """Holds the facts that this process knows."""
 
-    def known(self, keys: typing.Collection[Key]) -> list[crash_suspects.Fact]:
-        """Return facts that are still known."""
+    def facts_for(
+        self, keys: typing.Collection[Key]
+    ) -> list[crash_suspects.Fact]:
+        """Return those of the facts that are still known."""
 
-    def all_known(self) -> list[crash_suspects.Fact]:
+    def all_facts(self) -> list[crash_suspects.Fact]:
         """Return all facts, those of refused requests first."""
 
-    def take(
+    def receive(
         self, sender: str, facts: typing.Iterable[crash_suspects.Fact]
     ) -> None:
-        """Take facts that another process told."""
+        """Add facts received from another process."""
 
 
-class Spread(mode.Service):
-    """Passes facts on; one for each process.
+class Disseminator(mode.Service):
+    """Sends facts to the neighbours; one for each process.
 
     :param members: the members of the fleet.
-    :param transport: the messages of this process.
-    :param source: knows the facts.
+    :param transport: sends and receives messages.
+    :param source: holds the facts.
     """
 
     def __init__(
         self,
         members,
         transport: interfaces.Transport,
-        source: Source,
+        source: FactStore,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
@@ -88,39 +90,41 @@
         self.transport = transport
         self.source = source
         self.feeds: dict[str, Feed] = {}
-        self.stale = asyncio.Event()
-        self.stale.set()
-        transport.handle(messages.Tell, self._told)
-        members.subscribe(self._changed)
+        self.members_changed = asyncio.Event()
+        self.members_changed.set()
+        transport.handle(messages.Tell, self._handle_tell)
+        members.subscribe(self._on_member_change)
 
     async def on_stop(self) -> None:
-        """End the feeds."""
+        """Stop all feeds."""
         for host in list(self.feeds):
             self._drop(host)
 
-    def pass_on(self, keys: typing.Collection[Key], but: str = '') -> None:
-        """Pass facts on to every neighbour.
+    def broadcast(
+        self, keys: typing.Collection[Key], exclude: str = ''
+    ) -> None:
+        """Send facts to every neighbour.
 
-        :param but: address of the one that told them.
+        :param exclude: address of the neighbour that they came from.
         """
         for feed in self.feeds.values():
-            if feed.address != but:
+            if feed.address != exclude:
                 feed.add(keys)
 
     @mode.Service.task
-    async def _follow(self) -> None:
-        """Let the overlay follow the members."""
+    async def _track_members(self) -> None:
+        """Update the feeds after the members changed."""
         while not self.should_stop:
-            await self.stale.wait()
-            self.stale.clear()
-            self.align()
-            await asyncio.sleep(SETTLE_S)
+            await self.members_changed.wait()
+            self.members_changed.clear()
+            self.update_feeds()
+            await asyncio.sleep(MIN_UPDATE_INTERVAL_S)
 
-    def align(self) -> None:
-        """Open and close feeds as the overlay has it now."""
+    def update_feeds(self) -> None:
+        """Open and close feeds to match the neighbours in the overlay."""
         alive = {member.host: member for member in self.members.alive()}
-        centres = {host: each.data_centre for host, each in alive.items()}
-        wanted = ring.neighbours(self.members.me.host, centres)
+        data_centres = {host: each.data_centre for host, each in alive.items()}
+        wanted = ring.neighbours(self.members.me.host, data_centres)
         for host in self.feeds.keys() - set(wanted):
             self._drop(host)
         for host in wanted:
@@ -138,52 +142,58 @@
         return feed
 
     async def _feed(self, feed: Feed) -> None:
-        """Feed one neighbour."""
-        feed.add(_keys(self.source.all_known()))
-        asks = True
+        """Send facts to one neighbour until cancelled."""
+        feed.add(_keys(self.source.all_facts()))
+        wants_all = True
         failures = 0
         while True:
             await feed.event.wait()
-            if not feed.waiting and not asks:
+            if not feed.pending and not wants_all:
                 feed.event.clear()
                 continue
-            sent = await self._send(feed, asks)
-            asks = asks and not sent
+            sent = await self._send(feed, wants_all)
+            wants_all = wants_all and not sent
             failures = 0 if sent else failures + 1
-            await asyncio.sleep(BACKOFF_S if failures > PATIENCE else 0)
+            await asyncio.sleep(
+                BACKOFF_S if failures > MAX_FAST_RETRIES else 0
+            )
 
-    async def _send(self, feed: Feed, asks: bool) -> bool:
-        """Send what waits; tell whether it arrived."""
-        keys = list(itertools.islice(feed.waiting, MOST_FACTS))
+    async def _send(self, feed: Feed, wants_all: bool) -> bool:
+        """Send pending facts; return whether they were acknowledged."""
+        keys = list(itertools.islice(feed.pending, MAX_FACTS))
         for key in keys:
-            del feed.waiting[key]
-        facts = tuple(self.source.known(keys))
-        if not facts and not asks:
+            del feed.pending[key]
+        facts = tuple(self.source.facts_for(keys))
+        if not facts and not wants_all:
             return True
         result = await self.transport.call(
-            feed.address, messages.Tell(facts, asks), RETRY_S
+            feed.address, messages.Tell(facts, wants_all), RETRY_S
         )
         if result.is_error():
             feed.add(keys)
             return False
-        self.source.take(feed.address, result.ok.facts)
-        await asyncio.sleep(len(facts) * FACT_BYTES / RATE)
+        self.source.receive(feed.address, result.ok.facts)
+        await asyncio.sleep(len(facts) * FACT_BYTES / RATE_BYTES_PER_S)
         return True
 
-    async def _told(self, sender: str, tell: messages.Tell) -> messages.Told:
-        """Take what another process tells."""
-        self.source.take(sender, tell.facts[:MOST_FACTS])
-        if not tell.asks:
+    async def _handle_tell(
+        self, sender: str, tell: messages.Tell
+    ) -> messages.Told:
+        """Handle a message from a neighbour."""
+        self.source.receive(sender, tell.facts[:MAX_FACTS])
+        if not tell.wants_all:
             return messages.Told()
-        return messages.Told(tuple(self.source.all_known()[:MOST_FACTS]))
+        return messages.Told(tuple(self.source.all_facts()[:MAX_FACTS]))
 
     def _drop(self, host: str) -> None:
         feed = self.feeds.pop(host)
         if feed.task is not None:
             feed.task.cancel()
 
-    def _changed(self, _member: interfaces.Member, _alive: bool) -> None:
-        self.stale.set()
+    def _on_member_change(
+        self, _member: interfaces.Member, _alive: bool
+    ) -> None:
+        self.members_changed.set()
 
 
 def _keys(facts: typing.Iterable[crash_suspects.Fact]) -> list[Key]:
--- a/carawaystair/request/ledger.py
+++ b/carawaystair/request/attempt_tracker.py
@@ -1,7 +1,7 @@
-"""The life of an attempt: its start, its end, and what is kept of both.
+"""Starts and ends attempts, and records their outcomes.
 
-Every attempt that was started is ended exactly once, so that connections,
-slots and evidence add up whatever goes wrong.
+Every attempt that was started is ended exactly once, whatever goes wrong, so
+that no connection, permit or evidence is lost or counted twice.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 from carawaystair.request import headers
 from carawaystair.request import latencies
 from carawaystair.request import selection
-from carawaystair.request import silence
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
+from carawaystair.request import silent_connections
 from carawaystair.request import target as targets
 
-# A failure makes an upstream look as slow as this, at least: one that fails
-# fast must not draw work by its speed.
-PENALTY_S = 1.0
-# An upstream that was told a deadline is taken to have stopped so long
-# after it, whatever it says.
-FREE_AFTER_S = 0.5
-# New work for an upstream that has begun to leave breaks a promise after
-# this time.
-DRAIN_S = 3.0
+# Minimum latency that a failure counts as: an upstream that fails fast must
+# not attract requests by its speed.
+FAILURE_LATENCY_S = 1.0
+# A cancelled request counts as stopped this long after its deadline, even if
+# the upstream has not closed the connection.
+RELEASE_GRACE_S = 0.5
+# A request sent to an upstream this long after it began to leave violates an
+# invariant.
+DRAIN_GRACE_S = 3.0
 FAILURES = frozenset(
     (
         interfaces.ERROR,
@@ -43,12 +43,12 @@
 )
 
 
-class Ledger:
-    """The attempts of one node.
+class AttemptTracker:
+    """Tracks the attempts of one node.
 
-    :param selector: chooses upstreams.
-    :param evidence: is told what every attempt showed.
-    :param quarantine: knows requests that crash upstreams.
+    :param selector: selects upstreams.
+    :param evidence: receives the outcome of every attempt.
+    :param quarantine: refuses requests that crash upstreams.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self.crash_detector = crash_detection.CrashDetector(quarantine)
         self.evidence = evidence
         self.budgets: dict[str, budgets.Budget] = {}
-        self.routes = latencies.Routes()
-        # What runs beside the requests: work that a stop waits for, and
-        # attempts that are only watched.
+        self.latencies = latencies.RouteLatencies()
+        # Background tasks: those that a stop waits for, and those that it
+        # cancels.
         self.tasks: set[asyncio.Task] = set()
-        self.watches: set[asyncio.Task] = set()
+        self.cancellable_tasks: set[asyncio.Task] = set()
 
-    # Starts
+    # Start
 
     def start(
         self,
@@ -77,13 +77,16 @@
         extra: bytes = b'',
         fresh: bool = False,
     ) -> attempts.Attempt:
-        """Begin an attempt."""
+        """Create an attempt."""
         attempt = attempts.Attempt(call, target, extra, fresh)
         target.in_flight += 1
         return attempt
 
-    async def put(self, attempt: attempts.Attempt) -> None:
-        """Send a request to its upstream; raises ``answers.Failed``."""
+    async def dispatch(self, attempt: attempts.Attempt) -> None:
+        """Connect to the upstream and send the request.
+
+        :raises answers.Failed: when it was not sent.
+        """
         await attempt.connect()
         attempt.send()
         call = attempt.call
@@ -95,27 +98,27 @@
             call.match.key,
             attempt.fresh,
         )
-        since = self.selector.leaving.get(attempt.target.upstream.id)
+        since = self.selector.leaving_since.get(attempt.target.upstream.id)
         if since is not None:
             invariants.check(
                 invariants.NO_WORK_AFTER_DRAIN,
-                clock.now() - since <= DRAIN_S,
+                clock.now() - since <= DRAIN_GRACE_S,
                 attempt.target.upstream.id,
             )
 
-    # Ends
+    # End
 
     def complete(
         self, attempt: attempts.Attempt, answer: answers.Answer
     ) -> None:
-        """Take note of an answer, and of its connection when it is whole."""
-        self.record(attempt, outcome_of(answer))
-        silence.answered(attempt)
+        """Record an answer, and finish the attempt if it is complete."""
+        self.record_outcome(attempt, outcome_of(answer))
+        silent_connections.resolve_suspicion(attempt)
         if answer.rest is None:
             self.finish(attempt)
 
     def finish(self, attempt: attempts.Attempt) -> None:
-        """Let the connection of an answer that was read whole go on."""
+        """End an attempt whose answer was read to its end."""
         target = attempt.target
         target.in_flight -= 1
         if attempt.message.code < 500:
@@ -127,83 +130,94 @@
         """End an attempt that brought no answer."""
         outcome = failed.outcome
         if outcome == interfaces.BROKEN and attempt.silent:
-            outcome = self._broken(attempt)
-        self.record(attempt, outcome)
-        silence.ended(attempt)
-        self.cut(attempt)
-
-    def _broken(self, attempt: attempts.Attempt) -> str:
-        """Tell what the end of a connection without a byte shows."""
-        if self.lost(attempt):
+            outcome = self._broken_outcome(attempt)
+        self.record_outcome(attempt, outcome)
+        silent_connections.clear_suspicion(attempt)
+        self.abort(attempt)
+
+    def _broken_outcome(self, attempt: attempts.Attempt) -> str:
+        """Return the outcome when a connection broke without an answer."""
+        if self.is_connection_lost(attempt):
             return interfaces.SILENT
         idle_s = attempt.started - attempt.connection.last_used
         if attempt.reused and idle_s > connections.RECENT_USE_S:
-            # An idle connection that the upstream closed just then: this
-            # says nothing about how it works.
+            # The upstream may have closed the idle connection just then,
+            # which is no evidence against it.
             return interfaces.CANCELLED
         return interfaces.BROKEN
 
-    def cut(self, attempt: attempts.Attempt) -> None:
-        """End an attempt that has answered but is not read to its end."""
+    def abort(self, attempt: attempts.Attempt) -> None:
+        """End an attempt without waiting for the upstream to stop.
+
+        Used when the attempt failed, or its answer is not read to its end.
+        """
         attempt.target.in_flight -= 1
         attempt.abort()
 
-    def late(
-        self, attempt: attempts.Attempt, slot: slots.Slot
+    def time_out(
+        self, attempt: attempts.Attempt, permit: shared_permits.SharedPermit
     ) -> answers.Failed:
-        """End an attempt whose time is over, and return the failure."""
-        outcome = self.blame(attempt)
-        self.abandon(attempt, outcome, slot)
+        """End an attempt at its deadline, and return the failure."""
+        outcome = self.timeout_outcome(attempt)
+        self.cancel(attempt, outcome, permit)
         return answers.Failed(outcome, codes.ANSWER_LATE, attempt.sent)
 
-    def blame(self, attempt: attempts.Attempt) -> str:
-        """Tell whether an upstream or its connection kept silent."""
-        return interfaces.SILENT if self.lost(attempt) else interfaces.TIMEOUT
+    def timeout_outcome(self, attempt: attempts.Attempt) -> str:
+        """Return the outcome of an attempt whose answer did not arrive."""
+        return (
+            interfaces.SILENT
+            if self.is_connection_lost(attempt)
+            else interfaces.TIMEOUT
+        )
 
-    def lost(self, attempt: attempts.Attempt) -> bool:
-        """Tell whether an attempt's connection was found to be lost."""
+    def is_connection_lost(self, attempt: attempts.Attempt) -> bool:
+        """Return whether an attempt's connection was found to be lost."""
         return (
             attempt.silent
             and attempt.connection.opened_at < attempt.target.lost_before
         )
 
-    def abandon(
+    def cancel(
         self,
         attempt: attempts.Attempt,
         outcome: str,
-        slot: slots.Slot | None = None,
+        permit: shared_permits.SharedPermit | None = None,
     ) -> None:
-        """Cancel an attempt, whose slot counts until it is known to be free.
+        """Cancel an attempt.
+
+        It counts as in flight until the upstream is known to have stopped.
 
-        :param slot: the admission's slot that is given back then, too.
+        :param permit: the request's permit, held until then as well.
         """
-        self.record(attempt, outcome)
-        silence.ended(attempt)
+        self.record_outcome(attempt, outcome)
+        silent_connections.clear_suspicion(attempt)
         if not attempt.sent:
             attempt.target.in_flight -= 1
             attempt.abort()
             return
-        if slot is not None:
-            slot.hold()
+        if permit is not None:
+            permit.retain()
         if attempt.pump is not None:
             attempt.pump.task.cancel()
-        self.watch(self._let_go(attempt, slot))
+        self.spawn_cancellable(self._await_release(attempt, permit))
 
-    async def _let_go(
-        self, attempt: attempts.Attempt, slot: slots.Slot | None
+    async def _await_release(
+        self,
+        attempt: attempts.Attempt,
+        permit: shared_permits.SharedPermit | None,
     ) -> None:
-        until = max(attempt.call.deadline, clock.now()) + FREE_AFTER_S
+        until = max(attempt.call.deadline, clock.now()) + RELEASE_GRACE_S
         try:
             await connections.cancel(attempt.connection, until)
         finally:
             attempt.target.in_flight -= 1
-            if slot is not None:
-                slot.drop()
+            if permit is not None:
+                permit.release()
 
-    # What is kept
+    # Records
 
-    def record(self, attempt: attempts.Attempt, outcome: str) -> None:
-        """Record what an attempt showed, once."""
+    def record_outcome(self, attempt: attempts.Attempt, outcome: str) -> None:
+        """Record the outcome of an attempt; only the first call counts."""
         if attempt.recorded:
             return
         attempt.recorded = True
@@ -216,17 +230,17 @@
         latency_s = now - attempt.started
         if outcome == interfaces.GOOD:
             target.observe(latency_s, now)
-            self.routes.of(call.match.key).add(latency_s)
+            self.latencies.of(call.match.key).add(latency_s)
         elif outcome in FAILURES:
-            target.observe(max(latency_s, PENALTY_S), now)
+            target.observe(max(latency_s, FAILURE_LATENCY_S), now)
         if outcome == interfaces.BROKEN:
             self.crash_detector.connection_broke(target, call.digest, call.id)
-        self.note(attempt, outcome, latency_s)
+        self.report_evidence(attempt, outcome, latency_s)
 
-    def note(
+    def report_evidence(
         self, attempt: attempts.Attempt, outcome: str, latency_s: float
     ) -> None:
-        """Pass evidence on."""
+        """Report the outcome of an attempt as evidence."""
         call = attempt.call
         self.evidence.record(
             interfaces.Attempt(
@@ -240,11 +254,11 @@
             )
         )
 
-    def hedge_at(self, call: calls.Call) -> float:
-        """Return when a hedge of a request goes out, monotonic time."""
+    def hedge_time(self, call: calls.Call) -> float:
+        """Return when to send a hedge of a request, monotonic time."""
         now = clock.now()
         left_s = call.deadline - now
-        wait_s = self.routes.of(call.match.key).hedge_s(left_s)
+        wait_s = self.latencies.of(call.match.key).hedge_s(left_s)
         return min(now + wait_s, call.deadline)
 
     def budget(self, service: str) -> budgets.Budget:
@@ -255,15 +269,15 @@
         return budget
 
     def spawn(self, coroutine: typing.Coroutine) -> asyncio.Task:
-        """Run something beside the requests, to its end."""
-        return _keep(coroutine, self.tasks)
+        """Start a background task that a stop waits for."""
+        return _track_task(coroutine, self.tasks)
 
-    def watch(self, coroutine: typing.Coroutine) -> asyncio.Task:
-        """Run something beside the requests that a stop may cancel."""
-        return _keep(coroutine, self.watches)
+    def spawn_cancellable(self, coroutine: typing.Coroutine) -> asyncio.Task:
+        """Start a background task that a stop cancels."""
+        return _track_task(coroutine, self.cancellable_tasks)
 
 
-def _keep(
+def _track_task(
     coroutine: typing.Coroutine, tasks: set[asyncio.Task]
 ) -> asyncio.Task:
     task = asyncio.create_task(coroutine)
@@ -273,7 +287,7 @@
 
 
 def outcome_of(answer: answers.Answer) -> str:
-    """Return what an answer shows about its upstream."""
+    """Return the outcome that an answer means for its upstream."""
     if answer.status < 500:
         return interfaces.GOOD
     if answer.status == 503 and (
--- a/carawaystair/request/handler.py
+++ b/carawaystair/request/handler.py
@@ -1,4 +1,4 @@
-"""A caller's request, from its head to the last byte of its answer."""
+"""Handles callers' requests on nodes that send to upstreams directly."""
 
 import typing
 
@@ -6,17 +6,17 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
+from carawaystair.request import attempt_tracker
 from carawaystair.request import base_handler
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
 from carawaystair.request import digests
 from carawaystair.request import exchange as exchanges
 from carawaystair.request import http_server
-from carawaystair.request import keyed as keyeds
-from carawaystair.request import ledger
+from carawaystair.request import idempotency
 from carawaystair.request import meters as meters_module
 from carawaystair.request import sender as senders
-from carawaystair.request import slot as slots
+from carawaystair.request import shared_permit as shared_permits
 from carawaystair.request import transfer
 from carawaystair.request import validation
 from carawaystair import routing as routings
@@ -24,17 +24,19 @@
 
 
 class Handler(base_handler.BaseHandler):
-    """Sends requests to upstreams; one for each node.
+    """Handles requests by sending them to upstreams; one for each node.
 
     :param host: the host of the node.
-    :param prefix: begins the ids of requests, other at every start.
-    :param drain_s: time that a stop gives to requests in flight; none may
-        have more, or a stop would cut it off.
+    :param prefix: prefix of request ids, different after every start.
+    :param drain_s: time that a stop waits for requests in flight, seconds;
+        it bounds their deadlines, since a stop would cut off longer ones.
     :param admission: decides when a request may start.
-    :param reservations: holds idempotency keys.
+    :param reservations: reserves idempotency keys.
     :param routing: returns the configuration in force.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while none is.
     :param sender: sends to upstreams.
-    :param meters: counts what callers are told.
+    :param meters: counts requests by outcome.
     """
 
     def __init__(
@@ -53,8 +55,8 @@
         self.host = host
         self.admission = admission
         self.sender = sender
-        self.keyed = keyeds.Keyed(
-            reservations, self._send_keyed, sender.spawn, sender.cut
+        self.keyed = idempotency.KeyedRequests(
+            reservations, self._send_keyed, sender.spawn, sender.abort
         )
 
     async def _answer(
@@ -64,13 +66,13 @@
         if routing is None or routing.version == rows.NONE:
             raise validation.Refused(codes.NOT_READY)
         now = clock.now()
-        place = validation.read_target(request)
-        match = validation.match_route(routing, place)
+        target = validation.read_target(request)
+        match = validation.match_route(routing, target)
         if match is None or match.service is None:
             raise self._no_route()
         call = validation.read_call(
             request,
-            place,
+            target,
             match,
             routing.customer,
             exchange.id,
@@ -85,56 +87,63 @@
         if length != 0 or 'Expect' in request.headers:
             call = await self._read_body(request, call, exchange, length)
         credentials = request.headers.get('Authorization', '')
-        call = digests.with_digest(call, place.host, credentials)
+        call = digests.with_digest(call, target.host, credentials)
         if call.key:
-            await self._keyed(call, exchange)
+            await self._answer_keyed(call, exchange)
         else:
-            await self._plain(call, exchange)
+            await self._answer_unkeyed(call, exchange)
         self.meters.record_complete(clock.now() - now)
 
     # Sending
 
-    async def _plain(
+    async def _answer_unkeyed(
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
-        """Answer a request without a key."""
-        slot = await self._admit(call)
+        """Answer a request without an idempotency key."""
+        permit = await self._admit(call)
         started = clock.now()
         try:
-            answer = await self.sender.send(call, slot)
-            await self._pass_on(call, answer, exchange, slot)
-            slot.show(ledger.outcome_of(answer), clock.now() - started)
+            answer = await self.sender.send(call, permit)
+            await self._forward(call, answer, exchange, permit)
+            permit.record_outcome(
+                attempt_tracker.outcome_of(answer), clock.now() - started
+            )
         except answers.Failed as failed:
-            slot.show(failed.outcome, clock.now() - started)
+            permit.record_outcome(failed.outcome, clock.now() - started)
             raise
         finally:
-            slot.drop()
+            permit.release()
 
-    async def _keyed(
+    async def _answer_keyed(
         self, call: calls.Call, exchange: exchanges.Exchange
     ) -> None:
-        """Answer a request with a key."""
+        """Answer a request with an idempotency key."""
         try:
             answer = await self.keyed.answer(call)
         finally:
-            self.keyed_bodies.drop(call.body)
-        await self._pass_on(call, answer, exchange, None)
+            self.keyed_bodies.release(call.body)
+        await self._forward(call, answer, exchange, None)
 
     async def _send_keyed(self, call: calls.Call) -> answers.Answer:
-        slot = await self._admit(call)
+        permit = await self._admit(call)
         started = clock.now()
         try:
-            answer = await self.sender.send(call, slot)
-            slot.show(ledger.outcome_of(answer), clock.now() - started)
+            answer = await self.sender.send(call, permit)
+            permit.record_outcome(
+                attempt_tracker.outcome_of(answer), clock.now() - started
+            )
             return answer
         except answers.Failed as failed:
-            slot.show(failed.outcome, clock.now() - started)
+            permit.record_outcome(failed.outcome, clock.now() - started)
             raise
         finally:
-            slot.drop()
+            permit.release()
+
+    async def _admit(self, call: calls.Call) -> shared_permits.SharedPermit:
+        """Wait for a permit from admission.
 
-    async def _admit(self, call: calls.Call) -> slots.Slot:
-        """Wait until the request may start."""
+        :raises validation.Refused: when the request may not start.
+        """
         quarantine = self.sender.quarantine
         if not quarantine.may_begin(call.digest):
             raise validation.crash_refusal(quarantine.standing(call.digest))
@@ -142,7 +151,7 @@
             call.service, call.charged, call.deadline, call.bulk
         )
         if permit is not None:
-            return slots.Slot(permit)
+            return shared_permits.SharedPermit(permit)
         result = await self.admission.admit(
             call.service, call.charged, call.deadline, call.bulk
         )
@@ -153,21 +162,21 @@
                 failure.detail,
                 self.admission.retry_after(call.service),
             )
-        return slots.Slot(result.ok, waited=True)
+        return shared_permits.SharedPermit(result.ok, waited=True)
 
-    async def _pass_on(
+    async def _forward(
         self,
         call: calls.Call,
         answer: answers.Answer,
         exchange: exchanges.Exchange,
-        slot: slots.Slot | None,
+        permit: shared_permits.SharedPermit | None,
     ) -> None:
-        """Give the caller its answer."""
+        """Write the answer to the caller."""
         if answer.rest is None:
             exchange.write_answer(answer, codes.OK)
             await exchange.wait_drained()
             return
-        passing = transfer.Transfer(self.sender, call, answer, exchange, slot)
-        if not await passing.run():
+        stream = transfer.Transfer(self.sender, call, answer, exchange, permit)
+        if not await stream.run():
             exchange.keep_alive = False
-            self.meters.record_broken(call.id, 'The answer broke off.')
+            self.meters.record_broken(call.id, 'The answer was cut off.')
--- a/carawaystair/request/protocol.py
+++ b/carawaystair/request/protocol.py
@@ -1,4 +1,4 @@
-"""What both sides of an HTTP connection share, over aiohttp's protocol."""
+"""Base class of both sides of HTTP connections, over aiohttp's protocol."""
 
 import asyncio
 
@@ -6,47 +6,48 @@
 
 
 class Protocol(base_protocol.BaseProtocol):
-    """One connection with one timer.
+    """A connection with one timer.
 
-    One timer serves many requests: it is moved on when it rings early, so
-    that most requests neither make nor cancel one.
+    The timer is shared by many requests: it is set again when it fires too
+    early, so that most requests neither create nor cancel a timer.
 
     :param loop: the event loop.
-    :param parser: reads what comes; None until something is expected.
+    :param parser: parses received data; None until data is expected.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, parser=None) -> None:
         super().__init__(loop, parser)
         self.loop = loop
-        self.until = 0.0
+        self.timer_until = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def open(self) -> bool:
-        """Tell whether something can be sent."""
+        """Return whether data can be sent."""
         transport = self.transport
         return transport is not None and not transport.is_closing()
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Read on, if reading was paused.
+        """Resume reading if it was paused.
 
-        aiohttp calls this after every chunk; nothing was left unread then.
+        aiohttp calls this after every chunk, even if reading is not paused.
         """
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
-    def _arm(self, until: float) -> None:
-        """Let :meth:`_ring` be called at a time of the loop's clock, or
-        before.
+    def _set_timer(self, until: float) -> None:
+        """Call :meth:`_on_timer` at a time of the loop's clock, or earlier.
+
+        :param until: the time.
         """
-        self.until = until
+        self.timer_until = until
         timer = self.timer
         if timer is not None:
             if timer.when() <= until:
                 return
             timer.cancel()
-        self.timer = self.loop.call_at(until, self._ring)
+        self.timer = self.loop.call_at(until, self._on_timer)
 
-    def _ring(self) -> None:
-        """Take note that the time has come, or will."""
+    def _on_timer(self) -> None:
+        """Handle the timer; it may have fired before ``timer_until``."""
         raise NotImplementedError
