--- a/carawaystair/quarantine/__init__.py
+++ b/carawaystair/quarantine/__init__.py
@@ -2,8 +2,8 @@
 
 A node that sees an upstream of its host crash reports the requests that
 were running there to all other processes.  The rules for when a request is
-refused are in ``load.crash_suspects``; this package detects crashes, distributes
-the facts, writes logs and metrics, and serves the operators' API.
+refused are in ``load.crash_suspects``; this package detects crashes,
+distributes the facts, writes logs and metrics, and serves the operators' API.
 """
 
 from carawaystair.quarantine import service
