--- a/bench/exp_gossip.py
+++ b/bench/exp_gossip.py
@@ -291,7 +291,7 @@
     empty = tracemalloc.get_traced_memory()[0]
     for number in range(size):
         table.put(model.record(number, rng, 1_700_000_000_000 + number))
-    len(table.up())
+    len(table.live_entries())
     encoded = tracemalloc.get_traced_memory()[0] - empty
     total = sum(len(directory.upstreams(s)) for s in directory.services())
     assert total == size * model.UPSTREAMS
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -159,7 +159,7 @@
         name, line = life.name, life.slots.queue
         why = 'started anew'
         if said is None:
-            why = 'left' if name in self.registry.left else 'silent'
+            why = 'left' if name in self.registry.departed else 'silent'
         event = decisions.LifeEnded(
             name,
             life.said.service,
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -231,7 +231,7 @@
         ends = now + max(node.drain_s - STOP_SLACK_S, 0.0)
         self.caller_handler.stop_deadline = ends
         self.caller_handler.last_new = min(now + node.lame_duck_s, ends)
-        self.membership.registry.close()
+        self.membership.registry.drain_all()
         self.executor.close()
         while clock.now() < self.caller_handler.last_new:
             await asyncio.sleep(STOP_POLL_S)
--- a/carawaystair/membership/__init__.py
+++ b/carawaystair/membership/__init__.py
@@ -34,6 +34,6 @@
         lease_s=settings.node.lease_s,
         gateway=settings.node.gateway,
     )
-    kernel.links.traffic.far = made.distance.far
-    kernel.datagrams.traffic.far = made.distance.far
+    kernel.links.traffic.far = made.address_locations.is_remote
+    kernel.datagrams.traffic.far = made.address_locations.is_remote
     return made
--- a/carawaystair/membership/distance.py
+++ b/carawaystair/membership/address_locations.py
@@ -6,7 +6,7 @@
 MOST = 2 * tables.MAX_HOSTS
 
 
-class Distance:
+class AddressLocations:
     """The data centres of addresses, as records of hosts tell them.
 
     :param table: the table of hosts.
@@ -17,9 +17,9 @@
         self.centres: dict[str, str] = {}
         table.listeners.append(self._changed)
 
-    def far(self, address: str) -> bool:
+    def is_remote(self, address: str) -> bool:
         """Tell whether an address is known to be in another data centre."""
-        own = self.table.me.member.data_centre
+        own = self.table.own_entry.member.data_centre
         return self.centres.get(address, own) != own
 
     def _changed(self, change: tables.Change) -> None:
--- a/carawaystair/membership/aging.py
+++ b/carawaystair/membership/aging.py
@@ -51,5 +51,5 @@
     return [
         entry.member.host
         for entry in entries
-        if not entry.up and now - entry.since > lives[entry.state]
+        if not entry.up and now - entry.state_since > lives[entry.state]
     ]
--- a/carawaystair/membership/bounds.py
+++ b/carawaystair/membership/bounds.py
@@ -20,11 +20,11 @@
 MILLI = 1000
 STATES = 2
 # Numbers travel in 64 bits; one bit is left for what compares them.
-MOST_NUMBER = (1 << 63) - 1
+MAX_NUMBER = (1 << 63) - 1
 # The start of a process stands in the upper bits of its liveness: a time in
 # ms since 1970, as far as the year 6429.
 REFUTATION_BITS = 16
-MOST_START = MOST_NUMBER >> REFUTATION_BITS
+MAX_PROCESS_INCARNATION = MAX_NUMBER >> REFUTATION_BITS
 
 # Gateways stand behind many rows, and records are read again and again.
 address_ok = functools.lru_cache(8192)(settings_rules.address_ok)
@@ -44,12 +44,12 @@
 
 def number_ok(number: int) -> bool:
     """Tell whether a number that only grows may travel."""
-    return 0 <= number <= MOST_NUMBER
+    return 0 <= number <= MAX_NUMBER
 
 
-def start_ok(incarnation: int) -> bool:
+def process_incarnation_ok(incarnation: int) -> bool:
     """Tell whether the incarnation of a process is one."""
-    return 0 <= incarnation <= MOST_START
+    return 0 <= incarnation <= MAX_PROCESS_INCARNATION
 
 
 def row_ok(row: typing.Any) -> bool:
@@ -81,6 +81,6 @@
     """Tell whether a ``messages.Record`` may be kept and passed on."""
     return (
         name_ok(record.host)
-        and start_ok(record.incarnation)
+        and process_incarnation_ok(record.incarnation)
         and number_ok(record.sequence)
     )
--- a/carawaystair/membership/directory.py
+++ b/carawaystair/membership/directory.py
@@ -34,11 +34,11 @@
         self.table = table
         self.timeline = timeline
         # Hosts by service, as tuples: half the size of sets.
-        self.hosts: dict[str, tuple[str, ...]] = {}
+        self.hosts_by_service: dict[str, tuple[str, ...]] = {}
         self.cache: dict[str, tuple[interfaces.Upstream, ...]] = {}
         self.touched: set[str] = set()
         # Services that requests of this node go to.
-        self.used: set[str] = set()
+        self.services_in_use: set[str] = set()
         # Services in which two hosts announce the same id.
         self.doubled: set[str] = set()
         self.callbacks: list[Callback] = []
@@ -55,9 +55,9 @@
                 self.cache[service] = found
         return found
 
-    def using(self, service: str) -> None:
+    def mark_in_use(self, service: str) -> None:
         """Note that this node sends requests to a service."""
-        self.used.add(service)
+        self.services_in_use.add(service)
 
     def peek(self, service: str) -> tuple[interfaces.Upstream, ...]:
         """Return the same as ``upstreams``, without keeping it decoded."""
@@ -70,7 +70,7 @@
 
     def services(self) -> tuple[str, ...]:
         """Return the services that have an upstream."""
-        return tuple(self.hosts)
+        return tuple(self.hosts_by_service)
 
     def subscribe(self, callback: Callback) -> None:
         """Call ``callback`` with every upstream that changes."""
@@ -84,7 +84,7 @@
             await asyncio.sleep(IDLE_S)
             for service in self.cache.keys() - self.touched:
                 del self.cache[service]
-                self.used.discard(service)
+                self.services_in_use.discard(service)
 
     def _changed(self, change: tables.Change) -> None:
         """Carry a change of a host over to its upstreams."""
@@ -112,14 +112,14 @@
         """Bring one service up to date with the new rows of a host."""
         host = entry.member.host
         mine = [row for row in rows if row.service == service]
-        hosts = self.hosts.get(service, ())
+        hosts = self.hosts_by_service.get(service, ())
         if mine and host not in hosts:
-            self.hosts[sys.intern(service)] = (*hosts, host)
+            self.hosts_by_service[sys.intern(service)] = (*hosts, host)
         elif not mine:
             rest = tuple(name for name in hosts if name != host)
-            self.hosts[service] = rest
+            self.hosts_by_service[service] = rest
             if not rest:
-                del self.hosts[service]
+                del self.hosts_by_service[service]
         cached = self.cache.get(service)
         if cached is None:
             return
@@ -132,7 +132,10 @@
 
     def _build(self, service: str) -> tuple[interfaces.Upstream, ...]:
         """Decode the upstreams of a service from the records."""
-        entries = (self.table.entries[h] for h in self.hosts.get(service, ()))
+        entries = (
+            self.table.entries[h]
+            for h in self.hosts_by_service.get(service, ())
+        )
         found = [
             upstream(entry.member, row)
             for entry in entries
@@ -204,7 +207,10 @@
             self._tell(stands)
 
     def _tell(self, item: interfaces.Upstream) -> None:
-        if item.service in self.used or item.host == self.table.host:
+        if (
+            item.service in self.services_in_use
+            or item.host == self.table.host
+        ):
             self.timeline.record(
                 'upstream-%s' % item.state,
                 'on %s at %s' % (item.host, item.address),
--- a/carawaystair/membership/flood.py
+++ b/carawaystair/membership/flood.py
@@ -163,7 +163,7 @@
         """Open and close feeds as the overlay has it now."""
         centres = {
             entry.member.host: entry.member.data_centre
-            for entry in (self.table.me, *self.table.up())
+            for entry in (self.table.own_entry, *self.table.live_entries())
         }
         wanted = ring.neighbours(self.table.host, centres)
         for host in self.feeds.keys() - set(wanted):
--- a/carawaystair/membership/gossip.py
+++ b/carawaystair/membership/gossip.py
@@ -38,14 +38,14 @@
         self.table = table
         self.datagrams = datagrams
         self.rng = rng
-        self.queue = queues.Queue(lambda: len(table.up()))
+        self.queue = queues.Queue(lambda: len(table.live_entries()))
         # Takes each piece of news that is to be believed, see suspicion.
         self.believe: typing.Callable[[messages.News], None] = self.queue.add
         datagrams.handle(messages.Rumour, self._rumoured)
 
     def refute(self) -> None:
         """Tell that this process lives, at its new incarnation."""
-        me = self.table.me.member
+        me = self.table.own_entry.member
         self.queue.add(messages.News(me.host, messages.ALIVE, me.incarnation))
         self._tell(REFUTE_FANOUT)
 
@@ -70,9 +70,11 @@
             self._tell(FANOUT)
 
     def _tell(self, count: int) -> None:
-        up = self.table.up()
+        up = self.table.live_entries()
         chosen = self.rng.sample(up, min(2 * count + 1, len(up)))
-        others = [entry for entry in chosen if entry is not self.table.me]
+        others = [
+            entry for entry in chosen if entry is not self.table.own_entry
+        ]
         # Those under suspicion likely hear nothing.
         others.sort(key=operator.attrgetter('state'))
         for entry in others[:count]:
--- a/carawaystair/membership/interest.py
+++ b/carawaystair/membership/interest.py
@@ -111,7 +111,7 @@
 
     def _due(self, now: float) -> list[str]:
         """Return the hosts to register with now, some of them."""
-        used = sorted(self.directory.used)
+        used = sorted(self.directory.services_in_use)
         due = [name for name in used if self.renewals.get(name, 0.0) <= now]
         hosts: dict[str, None] = {}
         for service in due:
@@ -126,7 +126,7 @@
         old = now - RENEW_S
         return [
             host
-            for host in self.directory.hosts.get(service, ())
+            for host in self.directory.hosts_by_service.get(service, ())
             if host != self.table.host
             and self.registered.get(host, old) <= old
         ]
@@ -146,5 +146,5 @@
         self.datagrams.send(sender, messages.Pushed(*version))
 
     def _acknowledged(self, sender: str, pushed: messages.Pushed) -> None:
-        if pushed == self.table.me.record.version:
+        if pushed == self.table.own_entry.record.version:
             self.waiting.discard(sender)
--- a/carawaystair/membership/join.py
+++ b/carawaystair/membership/join.py
@@ -59,7 +59,7 @@
         self.prober = prober
         self.revival = revival
         self.transport = transport
-        own = table.me.member.peer
+        own = table.own_entry.member.peer
         self.seeds = tuple(seed for seed in seeds if seed != own)
         self.rng = rng
         transport.handle(messages.Hello, self._hello)
@@ -79,7 +79,7 @@
 
     def missing(self) -> list[str]:
         """Return the seeds that are not believed alive."""
-        alive = {entry.member.peer for entry in self.table.up()}
+        alive = {entry.member.peer for entry in self.table.live_entries()}
         return [seed for seed in self.seeds if seed not in alive]
 
     def _pause(self) -> float:
@@ -87,11 +87,11 @@
 
         A seed that comes back must not be met by the whole fleet at once.
         """
-        others = len(self.table.up()) - 1
+        others = len(self.table.live_entries()) - 1
         return max(RECALL_S, SEED_S * others) if others else RETRY_S
 
     async def _ask(self, seed: str) -> None:
-        mine = self.table.me.record
+        mine = self.table.own_entry.record
         result = await self.transport.call(
             seed, messages.Hello(mine), TIMEOUT_S
         )
@@ -99,7 +99,7 @@
             LOG.debug('A seed does not answer.', seed=seed)
             return
         if result.ok.incarnation:
-            self.table.outdated(result.ok.incarnation)
+            self.table.on_newer_start(result.ok.incarnation)
         self.flood.take(result.ok.records, spread=False)
         # After a long cut they are known and believed dead.
         for record in result.ok.records:
@@ -130,8 +130,8 @@
         """Return the own record and those of some other members."""
         others = [
             entry.record
-            for entry in self.table.up()
+            for entry in self.table.live_entries()
             if entry.member.host not in (newcomer, self.table.host)
         ]
         chosen = self.rng.sample(others, min(GREETING, len(others)))
-        return (self.table.me.record, *chosen)
+        return (self.table.own_entry.record, *chosen)
--- a/carawaystair/membership/lives.py
+++ b/carawaystair/membership/lifetimes.py
@@ -21,7 +21,7 @@
 STATES = (interfaces.UP, interfaces.DRAINING, interfaces.GONE)
 
 
-class Life(typing.NamedTuple):
+class Lifetime(typing.NamedTuple):
     """The newest lifetime of one upstream, as far as was heard.
 
     :param incarnation: which one.
@@ -51,22 +51,22 @@
         return STATES.index(state) < STATES.index(self.state)
 
 
-class Lives:
+class Lifetimes:
     """The newest lives by id."""
 
     def __init__(self) -> None:
-        self.known: dict[str, Life] = {}
+        self.by_id: dict[str, Lifetime] = {}
 
     def newer(
         self, name: str, incarnation: int, number: int, state: str
     ) -> bool:
         """Tell whether a later word of an upstream was heard."""
-        life = self.known.get(name)
+        life = self.by_id.get(name)
         return life is not None and life.newer(incarnation, number, state)
 
     def number(self, name: str) -> int:
         """Return the highest number of the life that is known, or 0."""
-        life = self.known.get(name)
+        life = self.by_id.get(name)
         return 0 if life is None else life.number
 
     def next(self, name: str, least: int) -> int:
@@ -75,7 +75,7 @@
         One that was late goes on in the life that it had; one that left
         begins another.
         """
-        life = self.known.get(name)
+        life = self.by_id.get(name)
         if life is None:
             return least
         if life.state != interfaces.GONE:
@@ -94,12 +94,12 @@
 
         :param until: monotonic time up to which it is remembered.
         """
-        life = self.known.pop(name, None)
+        life = self.by_id.pop(name, None)
         if life is not None and life.incarnation == incarnation:
             number = max(number, life.number)
-        self.known[name] = Life(incarnation, number, state, until)
-        while len(self.known) > MOST:
-            del self.known[next(iter(self.known))]
+        self.by_id[name] = Lifetime(incarnation, number, state, until)
+        while len(self.by_id) > MOST:
+            del self.by_id[next(iter(self.by_id))]
 
     def forget(self, now: float, kept: typing.Container[str]) -> None:
         """Drop the lives that nothing was heard of for long.
@@ -108,8 +108,8 @@
         """
         old = [
             name
-            for name, life in self.known.items()
+            for name, life in self.by_id.items()
             if life.until <= now and name not in kept
         ]
         for name in old:
-            del self.known[name]
+            del self.by_id[name]
--- a/carawaystair/membership/members.py
+++ b/carawaystair/membership/members.py
@@ -37,7 +37,9 @@
     def alive(self) -> tuple[interfaces.Member, ...]:
         """Return the members believed alive, this process included."""
         if self.known is None:
-            self.known = tuple(entry.member for entry in self.table.up())
+            self.known = tuple(
+                entry.member for entry in self.table.live_entries()
+            )
         return self.known
 
     def subscribe(self, callback: Callback) -> None:
--- a/carawaystair/membership/probe.py
+++ b/carawaystair/membership/probe.py
@@ -204,7 +204,11 @@
         return others[0] if others else None
 
     def _others(self) -> list[tables.Entry]:
-        return [e for e in self.table.up() if e is not self.table.me]
+        return [
+            e
+            for e in self.table.live_entries()
+            if e is not self.table.own_entry
+        ]
 
     def _helpers(self, entry: tables.Entry) -> list[tables.Entry]:
         """Choose who is asked to probe a host."""
@@ -220,7 +224,10 @@
         suspected = change.entry.state == messages.SUSPECT
         if not suspected or change.old_state == messages.SUSPECT:
             return
-        if self.rng.random() * len(self.table.up()) < SECOND_OPINIONS:
+        if (
+            self.rng.random() * len(self.table.live_entries())
+            < SECOND_OPINIONS
+        ):
             self.order.append(change.entry.member.host)
 
     def _proved(self, host: str, incarnation: int) -> None:
@@ -252,16 +259,16 @@
             return
         # One that has left would be believed alive again where its leave was
         # lost.
-        if self.table.me.state == messages.LEFT:
+        if self.table.own_entry.state == messages.LEFT:
             return
-        if ping.known > self.table.me.member.incarnation:
+        if ping.known > self.table.own_entry.member.incarnation:
             # Only an earlier process of this host can have said that.
-            self.table.outdated(messages.start(ping.known))
+            self.table.on_newer_start(messages.start(ping.known))
         self.gossip.take(ping.host, ping.news)
         ack = messages.Ack(
             ping.nonce,
             self.table.host,
-            self.table.me.member.incarnation,
+            self.table.own_entry.member.incarnation,
             self.digests(),
             self.gossip.queue.pick(),
         )
--- a/carawaystair/membership/registry.py
+++ b/carawaystair/membership/registry.py
@@ -14,7 +14,7 @@
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair.membership import bounds
-from carawaystair.membership import lives as lives_module
+from carawaystair.membership import lifetimes
 from carawaystair.membership import messages
 from carawaystair import settings
 from carawaystair import shape
@@ -59,7 +59,7 @@
     """
 
     announcement: Announcement
-    until: float
+    expires_at: float
     sequence: int
 
 
@@ -96,8 +96,8 @@
         self.leases: dict[str, Lease] = {}
         # Upstreams that left, and until when an announcement without a
         # newer incarnation is refused.
-        self.left: dict[str, Lease] = {}
-        self.lives = lives_module.Lives()
+        self.departed: dict[str, Lease] = {}
+        self.lifetimes = lifetimes.Lifetimes()
         # Returns the newest incarnation of an upstream of a service that
         # the fleet knows of.
         self.elsewhere: typing.Callable[[str, str], int] = _nobody
@@ -120,17 +120,17 @@
         wrong = _wrong(name, announcement, number)
         if wrong:
             return codes.fail(codes.ANNOUNCEMENT_INVALID, wrong)
-        known = self.leases.get(name) or self.left.get(name)
+        known = self.leases.get(name) or self.departed.get(name)
         if known is None and len(self.leases) >= MAX_UPSTREAMS:
             return codes.fail(codes.TOO_MANY_UPSTREAMS, name)
         if not announcement.incarnation:
             # Without one, only the number tells what is late.
-            if 0 < number < self.lives.number(name):
+            if 0 < number < self.lifetimes.number(name):
                 return codes.fail(codes.ANNOUNCEMENT_OLD, name)
             started = (
                 known.announcement.incarnation
                 if known
-                else self.lives.next(name, wall_ms)
+                else self.lifetimes.next(name, wall_ms)
             )
             announcement = announcement._replace(incarnation=started)
         if self._old(name, announcement, number):
@@ -142,7 +142,7 @@
 
     def _old(self, name: str, said: Announcement, number: int) -> bool:
         """Tell whether an announcement is older than what is known."""
-        if self.lives.newer(name, said.incarnation, number, said.state):
+        if self.lifetimes.newer(name, said.incarnation, number, said.state):
             return True
         if name in self.leases:
             return False
@@ -155,8 +155,8 @@
         )
 
     def _note(self, name: str, said: Announcement, number: int) -> None:
-        until = clock.now() + lives_module.REMEMBER_S
-        self.lives.note(name, said.incarnation, number, said.state, until)
+        until = clock.now() + lifetimes.REMEMBER_S
+        self.lifetimes.note(name, said.incarnation, number, said.state, until)
 
     def _rivals(self, name: str, said: Announcement) -> dict[str, Lease]:
         """Return the leases of others at the same address.
@@ -206,7 +206,7 @@
             self._tell(name)
         self.publish(True)
 
-    def close(self) -> None:
+    def drain_all(self) -> None:
         """Announce all upstreams as leaving: this host's process stops."""
         self.closing = True
         self.sequence += 1
@@ -228,7 +228,7 @@
         """
         lease = self.leases.get(name)
         gone = interfaces.GONE
-        remember_s = lives_module.REMEMBER_S
+        remember_s = lifetimes.REMEMBER_S
         if not incarnation:
             if lease is None:
                 return expression.Ok(None)
@@ -240,10 +240,10 @@
             return codes.fail(codes.ANNOUNCEMENT_INVALID, 'incarnation')
         if not bounds.name_ok(name):
             return codes.fail(codes.ANNOUNCEMENT_INVALID, 'id')
-        if self.lives.newer(name, incarnation, 0, gone):
+        if self.lifetimes.newer(name, incarnation, 0, gone):
             return codes.fail(codes.ANNOUNCEMENT_OLD, name)
         until = clock.now() + remember_s
-        self.lives.note(name, incarnation, 0, gone, until)
+        self.lifetimes.note(name, incarnation, 0, gone, until)
         if lease is not None:
             said = lease.announcement._replace(
                 state=gone, incarnation=incarnation
@@ -280,29 +280,33 @@
         """
         if late > SWEEP_S:
             self.leases = {
-                name: lease._replace(until=lease.until + late)
+                name: lease._replace(expires_at=lease.expires_at + late)
                 for name, lease in self.leases.items()
             }
-        ended = [n for n, lease in self.leases.items() if lease.until <= now]
+        ended = [
+            n for n, lease in self.leases.items() if lease.expires_at <= now
+        ]
         self._end(ended)
-        old = [n for n, lease in self.left.items() if lease.until <= now]
+        old = [
+            n for n, lease in self.departed.items() if lease.expires_at <= now
+        ]
         for name in old:
-            del self.left[name]
-        self.lives.forget(now, self.leases)
+            del self.departed[name]
+        self.lifetimes.forget(now, self.leases)
 
     def _store(self, name: str, announcement: Announcement) -> None:
         until = clock.now() + self.lease_s
         known = self.leases.get(name)
         if known is not None and known.announcement == announcement:
-            self.leases[name] = known._replace(until=until)
+            self.leases[name] = known._replace(expires_at=until)
             return
         if announcement.state == interfaces.GONE:
             self.leases.pop(name, None)
-            self.left[name] = Lease(announcement, until, self.sequence)
-            if len(self.left) > MAX_UPSTREAMS:
-                del self.left[next(iter(self.left))]
+            self.departed[name] = Lease(announcement, until, self.sequence)
+            if len(self.departed) > MAX_UPSTREAMS:
+                del self.departed[next(iter(self.departed))]
         else:
-            self.left.pop(name, None)
+            self.departed.pop(name, None)
         if announcement.state == interfaces.GONE and known is None:
             return
         self.sequence += 1
--- a/carawaystair/membership/revival.py
+++ b/carawaystair/membership/revival.py
@@ -62,7 +62,7 @@
             if host in self.table.dead:
                 return host
         dead = self.table.dead
-        share = len(dead) / max(len(self.table.up()), 1)
+        share = len(dead) / max(len(self.table.live_entries()), 1)
         if not dead or self.rng.random() >= share:
             return None
         return self.rng.choice(sorted(dead))
--- a/carawaystair/membership/service.py
+++ b/carawaystair/membership/service.py
@@ -11,11 +11,11 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair import logs
+from carawaystair.membership import address_locations as locations
 from carawaystair.membership import aging
 from carawaystair.membership import api
 from carawaystair.membership import bounds
 from carawaystair.membership import directory as directories
-from carawaystair.membership import distance as distances
 from carawaystair.membership import flood as floods
 from carawaystair.membership import gossip
 from carawaystair.membership import interest as interests
@@ -31,7 +31,7 @@
 # An arrival waits so long for others, in seconds, and so long since the last
 # record, so that the upstreams of a host that starts travel in a few records.
 # Leaves don't wait.
-GATHER_S = 0.2
+PUBLISH_DELAY_S = 0.2
 SPACING_S = 1.0
 # A process that leaves waits so long at most, in seconds, until its
 # neighbours have acknowledged that.
@@ -104,19 +104,19 @@
         self.sequence = 0
         self.left = False
         # By when this process must have ended, monotonic time.
-        self.leave_by = math.inf
+        self.leave_deadline = math.inf
         self.published = -SPACING_S
         self.gather: asyncio.TimerHandle | None = None
         self.table = tables.Table(identity.host)
-        self.table.accused = self.rise
-        self.table.outdated = self.renumber
-        self.distance = distances.Distance(self.table)
+        self.table.on_accused = self.rise
+        self.table.on_newer_start = self.renumber
+        self.address_locations = locations.AddressLocations(self.table)
         self.members = member_lists.Members(self.table, timeline)
         self.directory = directories.Directory(self.table, timeline)
         self.registry = registries.Registry(lease_s, self.publish, gateway)
         self.registry.elsewhere = self.directory.life
         self.directory.subscribe(self._told)
-        self.table.own(self._record(), self._liveness())
+        self.table.set_own_record(self._record(), self._own_incarnation())
         self.flood = floods.Flood(self.table, transport)
         self.gossip = gossip.Gossip(self.table, datagrams, rng)
         self.prober = probe.Prober(self.table, self.gossip, datagrams, rng)
@@ -190,7 +190,7 @@
             return
         self.left = True
         self._publish()
-        left_s = max(self.leave_by - clock.now(), LEAVE_LEAST_S)
+        left_s = max(self.leave_deadline - clock.now(), LEAVE_LEAST_S)
         if not await self.flood.drained(min(LEAVE_S, left_s)):
             LOG.warning('Left without every acknowledgement.')
 
@@ -203,7 +203,9 @@
             self._publish()
         elif self.gather is None:
             loop = asyncio.get_running_loop()
-            when = max(loop.time() + GATHER_S, self.published + SPACING_S)
+            when = max(
+                loop.time() + PUBLISH_DELAY_S, self.published + SPACING_S
+            )
             self.gather = loop.call_at(when, self._publish)
 
     def _told(self, upstream: interfaces.Upstream) -> None:
@@ -222,9 +224,11 @@
         """
         if messages.start(incarnation) > self.incarnation:
             self.renumber(messages.start(incarnation))
-        elif not self.left and incarnation >= self._liveness():
+        elif not self.left and incarnation >= self._own_incarnation():
             self.refutations += 1
-            self.table.own(self.table.me.record, self._liveness())
+            self.table.set_own_record(
+                self.table.own_entry.record, self._own_incarnation()
+            )
             self.prober.awareness.worsen()
             self.gossip.refute()
 
@@ -235,7 +239,7 @@
         """
         if self.left or incarnation < self.incarnation:
             return
-        if not bounds.start_ok(incarnation + 1):
+        if not bounds.process_incarnation_ok(incarnation + 1):
             # Numbered above it, this process could tell nobody of itself.
             return
         LOG.warning('Others know a later start of this host.')
@@ -243,7 +247,7 @@
         self.refutations = 0
         self._publish()
 
-    def _liveness(self) -> int:
+    def _own_incarnation(self) -> int:
         """Return the incarnation that probes are answered with."""
         return messages.first(self.incarnation) + self.refutations
 
@@ -254,8 +258,8 @@
         self.sequence += 1
         self.published = clock.now()
         record = self._record()
-        urgent = messages.takes_away(self.table.me.record, record)
-        self.table.own(record, self._liveness())
+        urgent = messages.takes_away(self.table.own_entry.record, record)
+        self.table.set_own_record(record, self._own_incarnation())
         self.flood.spread(self.identity.host, urgent)
         if urgent:
             self.interest.push(record)
@@ -270,8 +274,8 @@
             return
         LOG.warning('Stood still; joins anew.', seconds=round(late))
         self.joined.clear()
-        for entry in list(self.table.up()):
-            self.table.doubt(entry.member.host)
+        for entry in list(self.table.live_entries()):
+            self.table.presume_dead(entry.member.host)
 
     def _record(self) -> messages.Record:
         who = self.identity
--- a/carawaystair/membership/suspicion.py
+++ b/carawaystair/membership/suspicion.py
@@ -117,7 +117,9 @@
         if news.state == messages.DEAD:
             self._hear_death(news)
             return
-        fresh = self.table.hear(news.host, news.state, news.incarnation)
+        fresh = self.table.apply_liveness(
+            news.host, news.state, news.incarnation
+        )
         if news.state == messages.SUSPECT:
             fresh = self._confirm(news) or fresh
         if fresh:
@@ -133,16 +135,20 @@
         entry = self.table.entries.get(news.host)
         believed = entry is not None and entry.up
         if news.host == self.table.host or not believed:
-            self.table.hear(news.host, messages.DEAD, news.incarnation)
+            self.table.apply_liveness(
+                news.host, messages.DEAD, news.incarnation
+            )
             return
-        self.table.hear(news.host, messages.SUSPECT, news.incarnation)
+        self.table.apply_liveness(
+            news.host, messages.SUSPECT, news.incarnation
+        )
         case = self.cases.get(news.host)
         if case is not None and case.incarnation == news.incarnation:
             case.condemned = True
 
     def least_s(self) -> float:
         """Return the least time of a suspicion, in seconds."""
-        size = max(len(self.table.up()), 1)
+        size = max(len(self.table.live_entries()), 1)
         return MULTIPLIER * max(1.0, math.log10(size)) * self.period_s
 
     @mode.Service.task
@@ -181,7 +187,7 @@
         """Tell whether the time of a suspicion is over."""
         if case.condemned:
             return True
-        needed = min(CONFIRMATIONS, len(self.table.up()) - 2)
+        needed = min(CONFIRMATIONS, len(self.table.live_entries()) - 2)
         return now >= case.began + case.time_s(self.least_s(), needed)
 
     async def _close(self, host: str, case: Case) -> None:
@@ -207,9 +213,9 @@
         """
         if self.isolated(case.began):
             self.queue.drop(host)
-            self.table.doubt(host)
+            self.table.presume_dead(host)
             return
-        self.table.hear(host, messages.DEAD, case.incarnation)
+        self.table.apply_liveness(host, messages.DEAD, case.incarnation)
         news = messages.News(host, messages.DEAD, case.incarnation)
         self.queue.add(news)
 
--- a/carawaystair/membership/sync.py
+++ b/carawaystair/membership/sync.py
@@ -139,7 +139,7 @@
     def due(self, kind: int) -> bool:
         """Tell whether a difference has lasted long enough to look into."""
         now = clock.now()
-        settled = now - self.table.moved[kind] >= SETTLED_S
+        settled = now - self.table.digest_changed_at[kind] >= SETTLED_S
         patient = now - self.since[kind] >= PATIENCE_S
         joining = not self.met
         return bool(self.differing[kind]) and (settled or patient or joining)
@@ -215,7 +215,10 @@
         news = False
         for version in versions:
             host, incarnation, _sequence = version
-            news = self.table.hear(host, messages.ALIVE, incarnation) or news
+            news = (
+                self.table.apply_liveness(host, messages.ALIVE, incarnation)
+                or news
+            )
             # They believe it alive, we believe it dead: a round trip tells.
             self.revival.contest(host)
         return news
@@ -280,7 +283,7 @@
         by_bucket: dict[int, list[messages.Version]] = {
             number: [] for number in differing
         }
-        for entry in self.table.up():
+        for entry in self.table.live_entries():
             if entry.bucket in by_bucket:
                 by_bucket[entry.bucket].append(_held(kind, entry))
         sizes = itertools.accumulate(len(v) for v in by_bucket.values())
--- a/carawaystair/membership/table.py
+++ b/carawaystair/membership/table.py
@@ -46,7 +46,7 @@
         'record',
         'member',
         'state',
-        'since',
+        'state_since',
         'bucket',
         'marks',
     )
@@ -60,7 +60,7 @@
         self.record = record
         self.member = member
         self.state = messages.LEFT if record.left else messages.ALIVE
-        self.since = now
+        self.state_since = now
         self.bucket = digest.bucket(record.host)
         self.marks = (0, 0)
 
@@ -107,22 +107,22 @@
         self.dead: set[str] = set()
         self.digests = (digest.Digest(), digest.Digest())
         # Monotonic time of the last change of each digest.
-        self.moved = [0.0, 0.0]
+        self.digest_changed_at = [0.0, 0.0]
         self.listeners: list[typing.Callable[[Change], None]] = []
         # Called when others believe this process dead or suspect, with the
         # incarnation, and when they know of a later start of this host.
-        self.accused: typing.Callable[[int], None] = _ignore
-        self.outdated: typing.Callable[[int], None] = _ignore
-        self.refused = 0
+        self.on_accused: typing.Callable[[int], None] = _ignore
+        self.on_newer_start: typing.Callable[[int], None] = _ignore
+        self.refused_records = 0
         self.room = output.Room({REFUSED: REFUSED_LINES})
         self.cached: list[Entry] | None = None
 
     @property
-    def me(self) -> Entry:
+    def own_entry(self) -> Entry:
         """Return the own entry."""
         return self.entries[self.host]
 
-    def up(self) -> list[Entry]:
+    def live_entries(self) -> list[Entry]:
         """Return the entries believed alive; not to be changed."""
         if self.cached is None:
             self.cached = [e for e in self.entries.values() if e.up]
@@ -142,7 +142,7 @@
         if record.host == self.host:
             # Others hold a newer record of this host than this process
             # itself: it restarted behind a clock that was set back.
-            self.outdated(record.incarnation)
+            self.on_newer_start(record.incarnation)
             return False
         body, left_out = messages.read(record.body)
         full = entry is None and len(self.entries) >= MAX_HOSTS
@@ -158,7 +158,7 @@
         return True
 
     def _refuse(self, record: messages.Record, why: str) -> None:
-        self.refused += 1
+        self.refused_records += 1
         self._tell_refused(record, why)
 
     def _tell_refused(self, record: messages.Record, why: str) -> None:
@@ -167,11 +167,13 @@
                 'Refused a record.',
                 of=record.host[: bounds.MAX_NAME],
                 why=why,
-                total=self.refused,
+                total=self.refused_records,
                 left_out=self.room.tell(),
             )
 
-    def own(self, record: messages.Record, incarnation: int) -> None:
+    def set_own_record(
+        self, record: messages.Record, incarnation: int
+    ) -> None:
         """Set the record of this process.
 
         :param incarnation: the incarnation that it answers probes with.
@@ -187,7 +189,7 @@
         entry.state = messages.LEFT if record.left else messages.ALIVE
         self._tell(change)
 
-    def hear(self, host: str, state: int, incarnation: int) -> bool:
+    def apply_liveness(self, host: str, state: int, incarnation: int) -> bool:
         """Take in what is said of a host's liveness.
 
         :return: whether it is news here.
@@ -202,7 +204,7 @@
         known = entry.member.incarnation
         if host == self.host:
             if state != messages.ALIVE and incarnation >= known:
-                self.accused(incarnation)
+                self.on_accused(incarnation)
             return False
         if not _overrides(state, incarnation, entry.state, known):
             return False
@@ -215,7 +217,7 @@
         self._turn(entry, state, incarnation)
         return True
 
-    def doubt(self, host: str) -> None:
+    def presume_dead(self, host: str) -> None:
         """Hold a host for dead without holding it against the host.
 
         A process that reaches nobody is likely the one that is cut off.
@@ -236,7 +238,7 @@
     def _turn(self, entry: Entry, state: int, incarnation: int) -> None:
         change = Change(entry, entry.state, entry.record)
         if entry.state != state:
-            entry.since = clock.now()
+            entry.state_since = clock.now()
         entry.state = state
         entry.member = entry.member._replace(incarnation=incarnation)
         self._tell(change)
@@ -260,7 +262,7 @@
         elif restarted and record.incarnation > change.old_record.incarnation:
             entry.state = messages.ALIVE
         if entry.state != change.old_state:
-            entry.since = clock.now()
+            entry.state_since = clock.now()
         self._tell(change)
 
     def _tell(self, change: Change) -> None:
@@ -288,7 +290,7 @@
         for kind, (old, new) in enumerate(pairs):
             if old != new:
                 self.digests[kind].toggle(entry.bucket, old ^ new)
-                self.moved[kind] = clock.now()
+                self.digest_changed_at[kind] = clock.now()
         entry.marks = marks
 
 
--- a/carawaystair/node.py
+++ b/carawaystair/node.py
@@ -52,7 +52,7 @@
         """
         drain_s = self.kernel.settings.node.drain_s
         if drain_s:
-            self.membership.leave_by = clock.now() + drain_s
+            self.membership.leave_deadline = clock.now() + drain_s
 
     def judge(self):
         """Return the part that says which upstreams fail."""
--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -72,13 +72,13 @@
     def _steps(it):
         it.put('h1', 1, row('a'))
         assert it.ids() == [('a', 'h1')]
-        it.table.hear('h1', messages.SUSPECT, messages.first(1))
+        it.table.apply_liveness('h1', messages.SUSPECT, messages.first(1))
         assert it.ids() == [('a', 'h1')]
-        it.table.hear('h1', messages.DEAD, messages.first(1))
+        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
         assert it.ids() == []
         it.put('h1', 2, row('a'), row('b'))
         assert it.ids() == []
-        it.table.hear('h1', messages.ALIVE, messages.first(1) + 1)
+        it.table.apply_liveness('h1', messages.ALIVE, messages.first(1) + 1)
         assert it.ids() == [('a', 'h1'), ('b', 'h1')]
         states = [state for _id, _host, state in it.told]
         assert states == ['up', 'gone', 'up', 'up']
@@ -96,8 +96,10 @@
 
     def _steps(it):
         it.put('h1', 1, row('a'))
-        it.table.hear('h1', messages.DEAD, messages.first(1))
-        assert not it.table.hear('h1', messages.ALIVE, messages.first(2))
+        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        assert not it.table.apply_liveness(
+            'h1', messages.ALIVE, messages.first(2)
+        )
         assert it.ids() == []
         it.table.put(spread.record('h1', 2, 0, (row('b'),)))
         assert it.ids() == [('b', 'h1')]
@@ -119,7 +121,7 @@
         assert it.ids() == [('a', 'h1')]
         it.put('h2', 1, row('a', incarnation=2))
         assert it.ids() == [('a', 'h2')]
-        it.table.hear('h1', messages.DEAD, messages.first(1))
+        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
         assert it.ids() == [('a', 'h2')]
         assert it.told[-1] == ('a', 'h2', 'up')
         it.put('h2', 2)
@@ -132,7 +134,7 @@
 def test_events_are_kept_for_services_in_use_only():
     def _steps(it):
         it.put('h1', 1, row('a'))
-        it.directory.using('stock')
+        it.directory.mark_in_use('stock')
         it.put('h1', 2, row('a'), row('b'), row('c', 'parts'))
         events = [(e.kind, e.upstream) for e in it.timeline.ring]
         assert events == [('upstream-up', 'b')]
@@ -161,6 +163,6 @@
         for number in range(20):
             it.put('h%d' % number, 1)
         assert len(it.table.entries) == 10
-        assert it.table.refused == 10
+        assert it.table.refused_records == 10
 
     run(_steps)
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -351,7 +351,7 @@
             fleet.nodes[1].announce('gone')
             early = asyncio.ensure_future(fleet.ask('/read/a'))
             await asyncio.sleep(1.0)
-            fleet.nodes[1].membership.registry.left.clear()
+            fleet.nodes[1].membership.registry.departed.clear()
             fleet.nodes[1].announce()
             first = (await early).status
             fleet.nodes[1].announce('gone')
--- a/test/test_lifetimes.py
+++ b/test/test_lifetimes.py
@@ -230,7 +230,9 @@
     def _steps(host):
         for number in range(3 * registries.MAX_UPSTREAMS):
             host.registry.remove('u%d' % number, 5)
-        assert len(host.registry.lives.known) <= 2 * registries.MAX_UPSTREAMS
+        assert (
+            len(host.registry.lifetimes.by_id) <= 2 * registries.MAX_UPSTREAMS
+        )
 
     run(_steps)
 
--- a/test/test_malformed_records.py
+++ b/test/test_malformed_records.py
@@ -145,10 +145,12 @@
         node = whole.make(fakes.Network(), 0)
         host = node.identity.host
         before = node.incarnation
-        assert not node.table.hear(host, messages.SUSPECT, incarnation)
+        assert not node.table.apply_liveness(
+            host, messages.SUSPECT, incarnation
+        )
         assert node.incarnation == before
         node.table.put(spread.record('h1', 1, 1))
-        assert not node.table.hear('h1', messages.DEAD, incarnation)
+        assert not node.table.apply_liveness('h1', messages.DEAD, incarnation)
         assert node.table.entries['h1'].up
 
     fakes.run(_run())
@@ -171,7 +173,7 @@
         bad = spread.record('h1', 1, 1)._replace(body=b'')
         for _time in range(500):
             it.table.put(bad)
-        assert it.table.refused == 500
+        assert it.table.refused_records == 500
         assert 1 <= len(lines) <= 3
 
     directories.run(_steps)
@@ -365,7 +367,7 @@
     def _steps(it):
         it.put('h1', 1)
         incarnation = messages.first(1) + 5
-        assert not it.table.hear('h1', state, incarnation)
+        assert not it.table.apply_liveness('h1', state, incarnation)
         assert it.table.entries['h1'].state == messages.ALIVE
 
     directories.run(_steps)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -160,12 +160,12 @@
         await asyncio.sleep(10)
         assert all(states(node) == {} for node in nodes[:4])
         assert 'member-dead' in kinds(nodes[0])
-        version = nodes[4].table.me.record.version
+        version = nodes[4].table.own_entry.record.version
         network.heal()
         await asyncio.sleep(6)
         assert all(states(node) == {'a': 'up'} for node in nodes)
         assert 'member-back' in kinds(nodes[0])
-        assert nodes[4].table.me.record.version == version
+        assert nodes[4].table.own_entry.record.version == version
 
     fakes.run(_run())
 
@@ -307,7 +307,7 @@
             vanish(network, node)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        nodes[0].leave_by = began + left_s
+        nodes[0].leave_deadline = began + left_s
         await nodes[0].leave()
         return loop.time() - began
 
@@ -325,6 +325,6 @@
         kernel = fakes.Kernel(fakes.Network(), document)
         made = node_module.make(kernel)
         await made.on_stop()
-        return made.membership.leave_by
+        return made.membership.leave_deadline
 
     assert fakes.run(scenario()) == 4.0
--- a/test/test_membership_leaving.py
+++ b/test/test_membership_leaving.py
@@ -60,7 +60,7 @@
 
     world.run(_run())
     assert len(world.up()) == 19
-    world.first = world.nodes[OWNER].table.me.record
+    world.first = world.nodes[OWNER].table.own_entry.record
 
 
 @pytest_bdd.given(
@@ -93,7 +93,7 @@
     async def _run():
         registry = world.nodes[OWNER].registry
         registry.lease_s = 0.0
-        registry.leases['a'] = registry.leases['a']._replace(until=0.0)
+        registry.leases['a'] = registry.leases['a']._replace(expires_at=0.0)
         await asyncio.sleep(0.25)
 
     world.run(_run())
--- a/test/test_membership_liveness.py
+++ b/test/test_membership_liveness.py
@@ -198,7 +198,7 @@
         for number in range(8):
             entry = nodes[number].table.entries['host-%03d' % (number + 9)]
             incarnation = entry.member.incarnation
-            nodes[number].table.hear(
+            nodes[number].table.apply_liveness(
                 entry.member.host, messages.DEAD, incarnation
             )
         await asyncio.sleep(25)
@@ -227,10 +227,12 @@
     async def _run():
         network = fakes.Network()
         nodes = await whole.fleet(network, 3)
-        old = nodes[2].table.me.record
+        old = nodes[2].table.own_entry.record
         nodes[2].left = True
         nodes[2].sequence += 1
-        nodes[2].table.own(nodes[2]._record(), nodes[2]._liveness())
+        nodes[2].table.set_own_record(
+            nodes[2]._record(), nodes[2]._own_incarnation()
+        )
         assert nodes[0].table.entries['host-002'].record == old
         # It has nobody alive to tell of, itself included.
         await nodes[0].sync.compare(messages.RECORDS, nodes[2].identity.peer)
@@ -253,7 +255,7 @@
         first = messages.first(1)
         said = messages.News('host-002', messages.SUSPECT, first, 'host-001')
         own = messages.News('host-000', messages.SUSPECT, first, 'host-001')
-        table.hear('host-001', messages.DEAD, first)
+        table.apply_liveness('host-001', messages.DEAD, first)
         gossip._rumoured('', messages.Rumour('host-001', (said, own)))
         assert believed(nodes[:1], 'host-002') == [messages.ALIVE]
         # What it says of this process must be refuted all the same.
--- a/test/test_membership_registry.py
+++ b/test/test_membership_registry.py
@@ -159,7 +159,7 @@
             answer = await client.put(path, data=b'{')
             assert (await answer.json())['code'] == 'CS-7005'
             # Arrivals are gathered for a moment.
-            await asyncio.sleep(service.GATHER_S * 1.5)
+            await asyncio.sleep(service.PUBLISH_DELAY_S * 1.5)
             answer = await client.get('/v1/upstreams')
             listed = (await answer.json())['services']['stock']
             assert listed[0]['id'] == 'a'
--- a/test/test_membership_spread.py
+++ b/test/test_membership_spread.py
@@ -127,11 +127,11 @@
         assert table.put(new)
         assert not table.put(old)
         assert table.entries['a'].state == messages.LEFT
-        assert not table.hear('a', messages.ALIVE, 1)
+        assert not table.apply_liveness('a', messages.ALIVE, 1)
         assert table.put(record('a', 2, 0))
         outdated = []
-        table.outdated = outdated.append
-        table.own(record('me', 5, 3), messages.first(5))
+        table.on_newer_start = outdated.append
+        table.set_own_record(record('me', 5, 3), messages.first(5))
         assert not table.put(record('me', 5, 3))
         assert not table.put(record('me', 7, 0))
         assert outdated == [7]
@@ -326,7 +326,7 @@
         nodes = await whole.fleet(network, 6)
         whole.announce(nodes[1], 'a')
         await asyncio.sleep(1)
-        nodes[4].directory.using('stock')
+        nodes[4].directory.mark_in_use('stock')
         await asyncio.sleep(2)
         assert len(nodes[1].interest.senders) == 1
         for node in nodes:
--- a/test/test_traffic.py
+++ b/test/test_traffic.py
@@ -12,13 +12,13 @@
         network = fakes.Network()
         nodes = await whole.fleet(network, 8)
         for node in nodes:
-            node.transport.traffic.far = node.distance.far
+            node.transport.traffic.far = node.address_locations.is_remote
         whole.announce(nodes[0], 'a')
         await asyncio.sleep(1)
         one = nodes[0].transport.traffic
         asked = nodes[4].identity.peer
-        assert not nodes[0].distance.far(asked)
-        assert nodes[0].distance.far(nodes[1].identity.peer)
+        assert not nodes[0].address_locations.is_remote(asked)
+        assert nodes[0].address_locations.is_remote(nodes[1].identity.peer)
         before = one.messages['Fetch', False]
         question = messages.Fetch(('host-004',))
         await nodes[0].transport.call(asked, question, 1.0)
