--- a/carawaystair/membership/__init__.py
+++ b/carawaystair/membership/__init__.py
@@ -1,8 +1,9 @@
-"""Which processes of the fleet live, and which upstreams there are.
+"""Membership of the fleet: its live processes and their upstreams.
 
-Every process owns one *record*: who it is and what the upstreams of its host
-announced.  Records spread by flooding, with anti-entropy behind it; liveness
-is found by round trips (SWIM).  Nothing here needs a control host.
+Every process owns one *record*, which holds its identity and the upstreams
+announced on its host.  Records are distributed by flooding and repaired by
+anti-entropy; failures of processes are detected by probes (SWIM).  No part of
+this depends on a control host.
 """
 
 from carawaystair import kernel as kernels
@@ -12,7 +13,7 @@
 def make(kernel: kernels.Kernel) -> service.Membership:
     """Return the membership of one process.
 
-    :param kernel: the process, whose links and datagrams are used.
+    :param kernel: provides the links, datagrams and settings of the process.
     """
     settings = kernel.settings
     identity = service.Identity(
@@ -23,7 +24,7 @@
         settings.gossip,
         control='node' not in settings.roles,
     )
-    made = service.Membership(
+    membership = service.Membership(
         identity,
         kernel.links,
         kernel.datagrams,
@@ -34,6 +35,6 @@
         lease_s=settings.node.lease_s,
         gateway=settings.node.gateway,
     )
-    kernel.links.traffic.far = made.address_locations.is_remote
-    kernel.datagrams.traffic.far = made.address_locations.is_remote
-    return made
+    kernel.links.traffic.far = membership.address_locations.is_remote
+    kernel.datagrams.traffic.far = membership.address_locations.is_remote
+    return membership
--- a/carawaystair/membership/api.py
+++ b/carawaystair/membership/api.py
@@ -1,4 +1,4 @@
-"""The node's local HTTP interface, for the upstreams of its host."""
+"""The node's local HTTP API, for the upstreams of its host."""
 
 import typing
 
@@ -12,22 +12,22 @@
 from carawaystair.membership import registry as registries
 from carawaystair import shape
 
-MAX_BODY = 16 * 1024
-# Mistakes that are told, and digits of an incarnation.
-MOST_SHOWN = 3
-MOST_DIGITS = 19
+MAX_BODY_BYTES = 16 * 1024
+# Mistakes of a malformed body that are listed in the answer.
+MAX_MISTAKES_SHOWN = 3
+MAX_INCARNATION_DIGITS = 19
 
 
 class Answer(typing.NamedTuple):
     """The answer to an announcement.
 
-    :param code: ``CS-0000``, or what is wrong.
-    :param text: the same for a person.
+    :param code: ``CS-0000`` or the code of the failure.
+    :param text: the meaning of the code, for a person.
     :param id: id of the upstream.
-    :param state: its state as the node has it now.
-    :param incarnation: its incarnation as the node has it.
-    :param lease_s: seconds until it must renew; a third of it is a good
-        period.
+    :param state: current state of the upstream at the node.
+    :param incarnation: incarnation of the upstream at the node.
+    :param lease_s: seconds within which it must renew the lease; a third of
+        it is a good interval.
     """
 
     code: str
@@ -39,7 +39,7 @@
 
 
 class Listing(typing.NamedTuple):
-    """The answer to a question for upstreams.
+    """The answer to a request for the list of upstreams.
 
     :param services: upstreams by service.
     """
@@ -48,7 +48,7 @@
 
 
 class Api:
-    """Handlers of the routes.
+    """Handlers of the local API.
 
     :param registry: the leases of this host.
     :param directory: the upstreams of the fleet.
@@ -63,7 +63,7 @@
         self.directory = directory
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes."""
+        """Return the routes and their handlers."""
         return [
             web.put('/v1/upstreams/{id}', self.put),
             web.delete('/v1/upstreams/{id}', self.delete),
@@ -73,36 +73,38 @@
     async def put(self, request: web.Request) -> web.Response:
         """Announce an upstream or renew its lease."""
         name = request.match_info['id']
-        if (request.content_length or 0) > MAX_BODY:
+        if (request.content_length or 0) > MAX_BODY_BYTES:
             return _refuse(codes.Failure(codes.ANNOUNCEMENT_INVALID, 'size'))
-        value = documents.decode(await request.read(), MAX_BODY)
+        value = documents.decode(await request.read(), MAX_BODY_BYTES)
         if value.is_error():
-            text = '; '.join(map(str, value.error[:MOST_SHOWN]))
+            text = '; '.join(map(str, value.error[:MAX_MISTAKES_SHOWN]))
             failure = codes.Failure(codes.ANNOUNCEMENT_INVALID, text)
             return _refuse(failure)
-        result = registries.read(value.ok).bind(
-            lambda said: self.registry.announce(name, said, clock.wall_ms())
+        result = registries.parse_announcement(value.ok).bind(
+            lambda announcement: self.registry.announce(
+                name, announcement, clock.wall_ms()
+            )
         )
         if result.is_error():
             return _refuse(result.error)
-        said = result.ok
+        accepted = result.ok
         return _answer(
             codes.OK.status,
             Answer(
                 codes.OK.label,
                 codes.OK.text,
                 name,
-                said.state,
-                said.incarnation,
+                accepted.state,
+                accepted.incarnation,
                 self.registry.lease_s,
             ),
         )
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Take the leave of an upstream."""
+        """Remove an upstream that leaves."""
         name = request.match_info['id']
         text = request.query.get('incarnation', '0')
-        if not text.isdecimal() or len(text) > MOST_DIGITS:
+        if not text.isdecimal() or len(text) > MAX_INCARNATION_DIGITS:
             failure = codes.Failure(codes.ANNOUNCEMENT_INVALID, 'incarnation')
             return _refuse(failure)
         result = self.registry.remove(name, int(text))
--- a/carawaystair/membership/bounds.py
+++ b/carawaystair/membership/bounds.py
@@ -1,11 +1,13 @@
-"""What the content of records must keep to, whoever wrote it.
+"""Limits on the content of records, and checks against them.
 
-The host that announces an upstream checks what it says.  Records come from
-any process that speaks for a host, of another version or faulty.
+The host of an upstream validates its announcement.  Records, however, may
+come from a process that has another version or is faulty, so they are
+validated by every receiver.
 
-Symptom without this: one row with a state that no upstream has ends the
-taking in of a whole batch of records, each time that it comes; slots of 0
-end each request of its service; a number beyond 64 bits can't be sent on.
+Without these checks, one row with an unknown state would abort the processing
+of its whole batch of records each time it arrives; a row with 0 slots would
+fail each request of its service; a number of more than 64 bits could not be
+forwarded.
 """
 
 import functools
@@ -19,41 +21,43 @@
 MAX_WARMUP_S = 3600.0
 MILLI = 1000
 STATES = 2
-# Numbers travel in 64 bits; one bit is left for what compares them.
+# Numbers are encoded in 64 bits; one bit is kept free for comparisons.
 MAX_NUMBER = (1 << 63) - 1
-# The start of a process stands in the upper bits of its liveness: a time in
-# ms since 1970, as far as the year 6429.
+# The incarnation in liveness messages holds the start of the process, in ms
+# since 1970, in its upper bits and the number of refutations in the lower
+# ones.  This leaves enough bits for start times up to the year 6429.
 REFUTATION_BITS = 16
 MAX_PROCESS_INCARNATION = MAX_NUMBER >> REFUTATION_BITS
 
-# Gateways stand behind many rows, and records are read again and again.
+# Cached, because the address of a gateway is in many rows and records are
+# decoded repeatedly.
 address_ok = functools.lru_cache(8192)(settings_rules.address_ok)
 
 
 def name_ok(name: str) -> bool:
-    """Tell whether a name can be told to others."""
+    """Tell whether a name has a valid length and can be encoded."""
     if not 0 < len(name) <= MAX_NAME:
         return False
     try:
         name.encode()
     except UnicodeEncodeError:
-        # Half of a surrogate pair: encoding it would fail at every send.
+        # A lone surrogate, which would fail to encode at every send.
         return False
     return True
 
 
 def number_ok(number: int) -> bool:
-    """Tell whether a number that only grows may travel."""
+    """Tell whether a sequence or incarnation is within the limit."""
     return 0 <= number <= MAX_NUMBER
 
 
 def process_incarnation_ok(incarnation: int) -> bool:
-    """Tell whether the incarnation of a process is one."""
+    """Tell whether the start time of a process is within the limit."""
     return 0 <= incarnation <= MAX_PROCESS_INCARNATION
 
 
 def row_ok(row: typing.Any) -> bool:
-    """Tell whether a ``messages.Row`` names an upstream to use."""
+    """Tell whether a ``messages.Row`` describes a valid upstream."""
     return (
         name_ok(row.id)
         and name_ok(row.service)
@@ -68,7 +72,7 @@
 
 
 def body_ok(body: typing.Any) -> bool:
-    """Tell whether a ``messages.Body`` says where its host is."""
+    """Tell whether a ``messages.Body`` has valid locations and addresses."""
     return (
         name_ok(body.data_centre)
         and name_ok(body.region)
@@ -78,7 +82,7 @@
 
 
 def record_ok(record: typing.Any) -> bool:
-    """Tell whether a ``messages.Record`` may be kept and passed on."""
+    """Tell whether a ``messages.Record`` may be stored and forwarded."""
     return (
         name_ok(record.host)
         and process_incarnation_ok(record.incarnation)
--- a/carawaystair/membership/directory.py
+++ b/carawaystair/membership/directory.py
@@ -1,9 +1,9 @@
-"""The directory: upstreams by service, out of the records of live hosts.
+"""The directory: upstreams by service, from the records of live hosts.
 
-Records stay encoded; only the services that requests ask for are decoded
-into :class:`interfaces.Upstream` tuples, and a service that nobody asked for
-lately is dropped again.  So the whole fleet's directory is small and a lookup
-is one dictionary access.
+Records stay encoded.  A service is decoded into :class:`interfaces.Upstream`
+tuples when it is looked up, and dropped after it has not been looked up for
+some minutes.  So the directory of the whole fleet needs little memory, and a
+lookup is one dictionary access.
 """
 
 import asyncio
@@ -16,119 +16,125 @@
 from carawaystair.membership import messages
 from carawaystair.membership import table as tables
 
-# A service that no request asked for so long is no longer kept decoded.
+# Decoded services without a lookup in an interval of this length, in seconds,
+# are dropped.
 IDLE_S = 300.0
 
 Callback = typing.Callable[[interfaces.Upstream], None]
 
 
 class Directory(mode.Service):
-    """Keeps ``interfaces.Directory``.
+    """Implementation of ``interfaces.Directory``.
 
     :param table: the table of hosts.
-    :param timeline: takes the events of upstreams.
+    :param timeline: receives the events of upstreams.
     """
 
     def __init__(self, table: tables.Table, timeline, **kwargs) -> None:
         super().__init__(**kwargs)
         self.table = table
         self.timeline = timeline
-        # Hosts by service, as tuples: half the size of sets.
+        # Tuples, since they take half the memory of sets.
         self.hosts_by_service: dict[str, tuple[str, ...]] = {}
         self.cache: dict[str, tuple[interfaces.Upstream, ...]] = {}
-        self.touched: set[str] = set()
-        # Services that requests of this node go to.
+        # Services looked up since idle ones were last dropped.
+        self.requested: set[str] = set()
+        # Services to which this node sends requests.
         self.services_in_use: set[str] = set()
         # Services in which two hosts announce the same id.
-        self.doubled: set[str] = set()
+        self.duplicated: set[str] = set()
         self.callbacks: list[Callback] = []
         table.listeners.append(self._changed)
 
     def upstreams(self, service: str) -> tuple[interfaces.Upstream, ...]:
-        """Return those not gone, draining ones included."""
-        self.touched.add(service)
+        """Return the upstreams of a service, including draining ones."""
+        self.requested.add(service)
         found = self.cache.get(service)
         if found is None:
             found = self._build(service)
-            # An unknown name is not kept: callers could fill the memory.
+            # Names of unknown services are not cached, so that callers can't
+            # exhaust the memory.
             if found:
                 self.cache[service] = found
         return found
 
     def mark_in_use(self, service: str) -> None:
-        """Note that this node sends requests to a service."""
+        """Record that this node sends requests to a service.
+
+        Events are recorded for the upstreams of such services.
+        """
         self.services_in_use.add(service)
 
     def peek(self, service: str) -> tuple[interfaces.Upstream, ...]:
-        """Return the same as ``upstreams``, without keeping it decoded."""
+        """Return the same as ``upstreams`` without caching the result."""
         return self.cache.get(service) or self._build(service)
 
-    def life(self, service: str, name: str) -> int:
-        """Return the incarnation of an upstream that stands, or 0."""
-        found = self._standing(service, name)
+    def incarnation(self, service: str, name: str) -> int:
+        """Return the newest incarnation of an upstream; 0 if not listed."""
+        found = self._newest(service, name)
         return 0 if found is None else found.incarnation
 
     def services(self) -> tuple[str, ...]:
-        """Return the services that have an upstream."""
+        """Return the names of the services that have an upstream."""
         return tuple(self.hosts_by_service)
 
     def subscribe(self, callback: Callback) -> None:
-        """Call ``callback`` with every upstream that changes."""
+        """Call ``callback`` with each upstream that changes."""
         self.callbacks.append(callback)
 
     @mode.Service.task
-    async def _expire(self) -> None:
-        """Drop the decoded services that nobody asks for."""
+    async def _drop_idle(self) -> None:
+        """Drop decoded services that are no longer looked up."""
         while not self.should_stop:
-            self.touched.clear()
+            self.requested.clear()
             await asyncio.sleep(IDLE_S)
-            for service in self.cache.keys() - self.touched:
+            for service in self.cache.keys() - self.requested:
                 del self.cache[service]
                 self.services_in_use.discard(service)
 
     def _changed(self, change: tables.Change) -> None:
-        """Carry a change of a host over to its upstreams."""
+        """Apply a change of a host to its upstreams."""
         entry = change.entry
-        same = change.old_record is entry.record
-        if same and change.was_up == entry.up:
+        same_record = change.old_record is entry.record
+        if same_record and change.was_up == entry.up:
             return
-        old = _rows(change.old_record) if change.was_up else ()
-        new = _rows(entry.record) if entry.up else ()
-        before = {row.id: row for row in old}
-        after = {row.id: row for row in new}
-        touched = _services(old) | _services(new)
-        for service in touched:
-            self._index(service, entry, new)
-        gone = [row for row in old if row.id not in after]
-        news = [row for row in new if before.get(row.id) != row]
-        for row in gone:
-            self._tell_gone(entry, row)
-        for row in news:
-            self._tell_news(entry, row)
-
-    def _index(
+        old_rows = _rows(change.old_record) if change.was_up else ()
+        new_rows = _rows(entry.record) if entry.up else ()
+        old_by_id = {row.id: row for row in old_rows}
+        new_by_id = {row.id: row for row in new_rows}
+        services = _services(old_rows) | _services(new_rows)
+        for service in services:
+            self._update_service(service, entry, new_rows)
+        removed = [row for row in old_rows if row.id not in new_by_id]
+        changed = [row for row in new_rows if old_by_id.get(row.id) != row]
+        for row in removed:
+            self._notify_gone(entry, row)
+        for row in changed:
+            self._notify_changed(entry, row)
+
+    def _update_service(
         self, service: str, entry: tables.Entry, rows: tuple[messages.Row, ...]
     ) -> None:
-        """Bring one service up to date with the new rows of a host."""
+        """Update the index and cache of a service with the rows of a host."""
         host = entry.member.host
-        mine = [row for row in rows if row.service == service]
+        own_rows = [row for row in rows if row.service == service]
         hosts = self.hosts_by_service.get(service, ())
-        if mine and host not in hosts:
+        if own_rows and host not in hosts:
             self.hosts_by_service[sys.intern(service)] = (*hosts, host)
-        elif not mine:
-            rest = tuple(name for name in hosts if name != host)
-            self.hosts_by_service[service] = rest
-            if not rest:
+        elif not own_rows:
+            remaining = tuple(name for name in hosts if name != host)
+            self.hosts_by_service[service] = remaining
+            if not remaining:
                 del self.hosts_by_service[service]
         cached = self.cache.get(service)
         if cached is None:
             return
-        if service in self.doubled:
+        if service in self.duplicated:
             self.cache[service] = self._build(service)
             return
         others = [item for item in cached if item.host != host]
-        others.extend(upstream(entry.member, row) for row in mine)
-        self.cache[service] = self._settle(service, others)
+        others.extend(to_upstream(entry.member, row) for row in own_rows)
+        self.cache[service] = self._deduplicate(service, others)
 
     def _build(self, service: str) -> tuple[interfaces.Upstream, ...]:
         """Decode the upstreams of a service from the records."""
@@ -137,76 +143,79 @@
             for h in self.hosts_by_service.get(service, ())
         )
         found = [
-            upstream(entry.member, row)
+            to_upstream(entry.member, row)
             for entry in entries
             for row in _rows(entry.record)
             if row.service == service
         ]
-        return self._settle(service, found)
+        return self._deduplicate(service, found)
 
-    def _settle(
+    def _deduplicate(
         self, service: str, found: list[interfaces.Upstream]
     ) -> tuple[interfaces.Upstream, ...]:
-        """Order the upstreams; of two with one id the newer one counts.
+        """Sort upstreams by id and keep the newest one of each id.
 
         Two hosts announce the same id for a while when an upstream moves
         after its old host was lost.  Listed twice, it would get twice the
-        work; so the newest incarnation stands, and the service is built
-        anew at each change until they are one again.
+        requests.  So only the newest incarnation is listed, and the service
+        is rebuilt at each change until the ids are unique again.
         """
         found.sort(key=lambda u: (u.id, u.incarnation, u.sequence, u.host))
-        single = {item.id: item for item in found}
-        if len(single) == len(found):
-            self.doubled.discard(service)
+        by_id = {item.id: item for item in found}
+        if len(by_id) == len(found):
+            self.duplicated.discard(service)
             return tuple(found)
-        self.doubled.add(service)
-        return tuple(single.values())
+        self.duplicated.add(service)
+        return tuple(by_id.values())
 
-    def _standing(self, service: str, name: str) -> interfaces.Upstream | None:
-        """Return the newest life of an upstream, wherever it is."""
+    def _newest(self, service: str, name: str) -> interfaces.Upstream | None:
+        """Return the newest incarnation of an upstream on any host."""
         found = (u for u in self.peek(service) if u.id == name)
         return next(found, None)
 
-    def _listed(self, row: messages.Row) -> interfaces.Upstream | None:
-        """Return the newest life of a row's id, in a service in use.
+    def _newest_if_cached(
+        self, row: messages.Row
+    ) -> interfaces.Upstream | None:
+        """Return the newest upstream with the id of a row.
 
-        Services that nobody here asks for aren't decoded for this: when a
-        data centre is lost, that would be thousands at once.
+        Return None for a service that is neither cached nor has duplicate
+        ids.  Such services aren't decoded for this: when a data centre is
+        lost, that would be thousands at once.
         """
-        if row.service in self.cache or row.service in self.doubled:
-            return self._standing(row.service, row.id)
+        if row.service in self.cache or row.service in self.duplicated:
+            return self._newest(row.service, row.id)
         return None
 
-    def _tell_news(self, entry: tables.Entry, row: messages.Row) -> None:
-        """Tell of a row, unless a newer life stands elsewhere.
+    def _notify_changed(self, entry: tables.Entry, row: messages.Row) -> None:
+        """Notify of a changed row, unless another host has a newer one.
 
-        Symptom if it were told: an upstream that has moved drains or is
-        full for those who listen, because its former life did or was.
+        Otherwise subscribers would take an upstream that has moved for
+        draining or full because its previous incarnation was.
         """
-        item = upstream(entry.member, row)
-        stands = self._listed(row)
-        if stands is None or stands.host == item.host:
-            self._tell(item)
+        item = to_upstream(entry.member, row)
+        newest = self._newest_if_cached(row)
+        if newest is None or newest.host == item.host:
+            self._notify(item)
 
-    def _tell_gone(self, entry: tables.Entry, row: messages.Row) -> None:
-        """Tell that an upstream is gone, unless it stands elsewhere.
+    def _notify_gone(self, entry: tables.Entry, row: messages.Row) -> None:
+        """Notify that an upstream is gone, unless another host has it.
 
-        Where its newest life was listed here, the one that stands now is
-        told in its place; where it was not, nothing has changed.
+        If the removed row was the newest one, subscribers are notified of
+        the upstream that is listed now; if it wasn't, nothing has changed.
         """
-        stands = self._listed(row)
-        if stands is None:
-            item = upstream(entry.member, row)
+        newest = self._newest_if_cached(row)
+        if newest is None:
+            item = to_upstream(entry.member, row)
             version = max(entry.record.sequence, item.sequence)
             gone = item._replace(state=interfaces.GONE, sequence=version)
-            self._tell(gone)
+            self._notify(gone)
         elif (row.incarnation, row.sequence) > (
-            stands.incarnation,
-            stands.sequence,
+            newest.incarnation,
+            newest.sequence,
         ):
-            self._tell(stands)
+            self._notify(newest)
 
-    def _tell(self, item: interfaces.Upstream) -> None:
+    def _notify(self, item: interfaces.Upstream) -> None:
         if (
             item.service in self.services_in_use
             or item.host == self.table.host
@@ -221,8 +230,11 @@
             callback(item)
 
 
-def upstream(member, row: messages.Row) -> interfaces.Upstream:
-    """Return a row of a record as the other parts know it."""
+def to_upstream(member, row: messages.Row) -> interfaces.Upstream:
+    """Return the upstream that a row of a record describes.
+
+    :param member: the process that wrote the record.
+    """
     return interfaces.Upstream(
         row.id,
         sys.intern(row.service),
--- a/carawaystair/membership/lifetimes.py
+++ b/carawaystair/membership/lifetimes.py
@@ -1,115 +1,126 @@
-"""The lifetimes of upstreams that a host has heard of.
+"""The newest lifetime of each upstream that has announced itself to a host.
 
-An upstream may start again under its id.  It then knows nothing of before,
-and the numbers of its announcements begin anew; only its incarnation tells
-the lives apart.  What a former life said may still arrive, held up by a cut.
+A lifetime is the time from one start of an upstream to the next.  An upstream
+may restart under its id.  It has then no memory of its previous lifetime, and
+the numbers of its announcements start again; only its incarnation separates
+the lifetimes.  Announcements of the previous lifetime may still arrive,
+delayed by a network partition.
 
-Symptom without this: an upstream that has just started drains or is gone,
-because a late word of its former life is the last to arrive; or it is
-refused until its numbers have passed those of its former life.
+Without this check, an upstream that has just started would be taken for
+draining or gone if a delayed announcement of its previous lifetime arrived
+last; or it would be refused until its numbers exceeded the previous ones.
 """
 
 import typing
 
 from carawaystair import interfaces
 
-# A word of a life that is over may arrive so late, seconds: a check-in that
-# a cut has held up for some seconds, and its repetitions.  Not for ever: an
-# upstream whose clock was set back is refused for this long.
-REMEMBER_S = 30.0
-MOST = 512
-STATES = (interfaces.UP, interfaces.DRAINING, interfaces.GONE)
+# Time in seconds for which a lifetime is remembered after its last
+# announcement.  It covers an announcement that a network partition delays for
+# some seconds, and its retries.  It is limited, since an upstream whose clock
+# was set back is refused for this long.
+RETENTION_S = 30.0
+MAX_LIFETIMES = 512
+# An upstream passes through its states in this order.
+STATE_ORDER = (interfaces.UP, interfaces.DRAINING, interfaces.GONE)
 
 
 class Lifetime(typing.NamedTuple):
-    """The newest lifetime of one upstream, as far as was heard.
+    """The newest known lifetime of one upstream.
 
-    :param incarnation: which one.
-    :param number: the highest number that its announcements bore.
-    :param state: the last state that it came to.
-    :param until: monotonic time up to which it is remembered.
+    :param incarnation: incarnation of the upstream in this lifetime.
+    :param number: highest number of its announcements; 0 if they have none.
+    :param state: state in its last announcement.
+    :param expires_at: monotonic time up to which it is remembered.
     """
 
     incarnation: int
     number: int
     state: str
-    until: float
+    expires_at: float
 
-    def newer(self, incarnation: int, number: int, state: str) -> bool:
-        """Tell whether something was said before what was heard last.
+    def is_newer_than(self, incarnation: int, number: int, state: str) -> bool:
+        """Tell whether an announcement is older than the last one known.
 
-        The lifetime decides first, the number within it second.  Within one
-        life the state only moves towards gone, so that a renewal that was
-        sent before a drain and arrives after it brings no work back.
+        The incarnation decides first, then the number.  Within one lifetime
+        the state only moves towards ``gone``, so that a renewal that was
+        sent before a drain and arrives after it does not bring new requests
+        to the upstream.
 
-        :param number: 0 where announcements bear none.
+        :param number: number of the announcement; 0 if it has none.
         """
         if incarnation != self.incarnation:
             return incarnation < self.incarnation
         if number and number < self.number:
             return True
-        return STATES.index(state) < STATES.index(self.state)
+        return STATE_ORDER.index(state) < STATE_ORDER.index(self.state)
 
 
 class Lifetimes:
-    """The newest lives by id."""
+    """The newest known lifetimes by id of the upstream."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, Lifetime] = {}
 
-    def newer(
+    def has_newer(
         self, name: str, incarnation: int, number: int, state: str
     ) -> bool:
-        """Tell whether a later word of an upstream was heard."""
-        life = self.by_id.get(name)
-        return life is not None and life.newer(incarnation, number, state)
+        """Tell whether a newer announcement of an upstream is known."""
+        lifetime = self.by_id.get(name)
+        return lifetime is not None and lifetime.is_newer_than(
+            incarnation, number, state
+        )
 
-    def number(self, name: str) -> int:
-        """Return the highest number of the life that is known, or 0."""
-        life = self.by_id.get(name)
-        return 0 if life is None else life.number
+    def last_number(self, name: str) -> int:
+        """Return the highest known number of an upstream, or 0."""
+        lifetime = self.by_id.get(name)
+        return 0 if lifetime is None else lifetime.number
 
-    def next(self, name: str, least: int) -> int:
-        """Return the incarnation of an upstream that says none itself.
+    def next_incarnation(self, name: str, minimum: int) -> int:
+        """Return the incarnation of an upstream that does not give one.
 
-        One that was late goes on in the life that it had; one that left
-        begins another.
+        An upstream whose lease expired keeps its incarnation; one that left
+        gets a higher one.
+
+        :param minimum: the incarnation if no lifetime is known, and the
+            lowest one for an upstream that left.
         """
-        life = self.by_id.get(name)
-        if life is None:
-            return least
-        if life.state != interfaces.GONE:
-            return life.incarnation
-        return max(least, life.incarnation + 1)
-
-    def note(
+        lifetime = self.by_id.get(name)
+        if lifetime is None:
+            return minimum
+        if lifetime.state != interfaces.GONE:
+            return lifetime.incarnation
+        return max(minimum, lifetime.incarnation + 1)
+
+    def update(
         self,
         name: str,
         incarnation: int,
         number: int,
         state: str,
-        until: float,
+        expires_at: float,
     ) -> None:
-        """Take note of what was said and taken.
+        """Record an announcement that was accepted.
 
-        :param until: monotonic time up to which it is remembered.
+        :param expires_at: monotonic time up to which it is remembered.
         """
-        life = self.by_id.pop(name, None)
-        if life is not None and life.incarnation == incarnation:
-            number = max(number, life.number)
-        self.by_id[name] = Lifetime(incarnation, number, state, until)
-        while len(self.by_id) > MOST:
+        lifetime = self.by_id.pop(name, None)
+        if lifetime is not None and lifetime.incarnation == incarnation:
+            number = max(number, lifetime.number)
+        self.by_id[name] = Lifetime(incarnation, number, state, expires_at)
+        while len(self.by_id) > MAX_LIFETIMES:
             del self.by_id[next(iter(self.by_id))]
 
-    def forget(self, now: float, kept: typing.Container[str]) -> None:
-        """Drop the lives that nothing was heard of for long.
+    def drop_expired(self, now: float, kept: typing.Container[str]) -> None:
+        """Drop the lifetimes that have expired.
 
-        :param kept: ids whose leases stand.
+        :param now: monotonic time in seconds.
+        :param kept: ids of upstreams that have a lease.
         """
-        old = [
+        expired = [
             name
-            for name, life in self.by_id.items()
-            if life.until <= now and name not in kept
+            for name, lifetime in self.by_id.items()
+            if lifetime.expires_at <= now and name not in kept
         ]
-        for name in old:
+        for name in expired:
             del self.by_id[name]
--- a/carawaystair/membership/members.py
+++ b/carawaystair/membership/members.py
@@ -1,4 +1,4 @@
-"""The members: the processes of the fleet that are believed alive."""
+"""The list of processes of the fleet that are believed to be alive."""
 
 import typing
 
@@ -16,38 +16,38 @@
 
 
 class Members:
-    """Keeps ``interfaces.Members``.
+    """Implementation of ``interfaces.Members``.
 
-    :param table: the table of hosts, the own one in it.
-    :param timeline: takes the events of members.
+    :param table: the table of hosts, which includes the own host.
+    :param timeline: receives the events of members.
     """
 
     def __init__(self, table: tables.Table, timeline) -> None:
         self.table = table
         self.timeline = timeline
-        self.known: tuple[interfaces.Member, ...] | None = None
+        self.cached: tuple[interfaces.Member, ...] | None = None
         self.callbacks: list[Callback] = []
         table.listeners.append(self._changed)
 
     @property
     def me(self) -> interfaces.Member:
-        """Return this process."""
+        """Return the member that is this process."""
         return self.table.entries[self.table.host].member
 
     def alive(self) -> tuple[interfaces.Member, ...]:
-        """Return the members believed alive, this process included."""
-        if self.known is None:
-            self.known = tuple(
+        """Return the members believed to be alive, including this process."""
+        if self.cached is None:
+            self.cached = tuple(
                 entry.member for entry in self.table.live_entries()
             )
-        return self.known
+        return self.cached
 
     def subscribe(self, callback: Callback) -> None:
-        """Call ``callback(member, alive)`` when a member comes or goes."""
+        """Call ``callback(member, alive)`` when a member joins or is lost."""
         self.callbacks.append(callback)
 
     def _changed(self, change: tables.Change) -> None:
-        self.known = None
+        self.cached = None
         entry = change.entry
         if change.old_state == entry.state:
             return
@@ -64,10 +64,10 @@
 
 
 def _event(change: tables.Change) -> str:
-    """Return the name of the event that a change of state is."""
+    """Return the kind of event of a change of state, '' if there is none."""
     if change.old_state is None:
         return JOINED if change.entry.up else ''
     if change.entry.state == messages.ALIVE:
-        # One that left and comes again has joined anew.
+        # A host that left before has joined again.
         return JOINED if change.old_state == messages.LEFT else BACK
     return (SUSPECTED, DEAD, LEFT)[change.entry.state - 1]
--- a/carawaystair/membership/registry.py
+++ b/carawaystair/membership/registry.py
@@ -1,7 +1,8 @@
-"""The registry: announcements of the upstreams on this host, as leases.
+"""The registry: leases of the upstreams that run on this host.
 
-An upstream announces itself to the node of its host and renews that lease.
-Renewals stay here; only changes go into the host's record.
+An upstream announces itself to the node of its host and renews its lease by
+announcing again.  Renewals stay in this process; only changes are published
+in the record of the host.
 """
 
 import asyncio
@@ -24,21 +25,22 @@
 MAX_SLOTS = bounds.MAX_SLOTS
 MAX_WEIGHT = bounds.MAX_WEIGHT
 MAX_WARMUP_S = bounds.MAX_WARMUP_S
-# Expired leases are looked for this often, in seconds.
+# Interval between checks for expired leases, in seconds.
 SWEEP_S = 0.5
 
 
 class Announcement(typing.NamedTuple):
-    """What an upstream says of itself, see docs/API-node.md.
-
-    :param service: the service that it runs.
-    :param address: ``ip:port`` that takes requests.
-    :param slots: requests that it works on at once.
-    :param weight: share of work relative to its siblings.
-    :param warmup_s: seconds from its start until it carries full load.
+    """An upstream's description of itself, see docs/API-node.md.
+
+    :param service: name of the service that it runs.
+    :param address: ``ip:port`` at which it takes requests.
+    :param slots: number of requests that it processes concurrently.
+    :param weight: share of work relative to other upstreams of the
+        service.
+    :param warmup_s: seconds from its start until it takes full load.
     :param state: ``up``, ``draining`` or ``gone``.
-    :param incarnation: grows with every start of the upstream; 0 leaves it
-        to the node.
+    :param incarnation: grows with every start of the upstream; 0 lets the
+        node assign it.
     """
 
     service: str
@@ -51,11 +53,11 @@
 
 
 class Lease(typing.NamedTuple):
-    """An announcement that holds until a time.
+    """An announcement and the time at which it expires.
 
     :param announcement: the announcement, its incarnation filled in.
-    :param until: monotonic time at which it ends unless renewed.
-    :param sequence: the record's sequence at its last change.
+    :param expires_at: monotonic time at which it ends unless renewed.
+    :param sequence: sequence of the registry at its last change.
     """
 
     announcement: Announcement
@@ -63,19 +65,19 @@
     sequence: int
 
 
-def _nobody(_service: str, _name: str) -> int:
-    """Stand in until somebody knows of upstreams elsewhere."""
+def _no_incarnation(_service: str, _name: str) -> int:
+    """Return 0: no upstreams of other hosts are known."""
     return 0
 
 
 class Registry(mode.Service):
     """The leases of this host's upstreams.
 
-    :param lease_s: seconds that an announcement holds.
-    :param publish: called after every change that others must know; returns
-        the sequence of the next record.
-    :param gateway: the address that others send work for these upstreams
-        to; None for the upstreams' own addresses.
+    :param lease_s: duration of a lease in seconds.
+    :param publish: called after every change that other hosts must learn
+        of, with whether it is urgent.
+    :param gateway: address to which other hosts send requests for these
+        upstreams; None for the upstreams' own addresses.
     """
 
     def __init__(
@@ -89,18 +91,21 @@
         self.lease_s = lease_s
         self.publish = publish
         self.gateway = gateway
-        # Called with each id whose announcement changed here.
+        # Called with the id of each upstream whose announcement changed.
         self.callbacks: list[typing.Callable[[str], None]] = []
-        # While the host's process stops, none of them gets new work.
-        self.closing = False
+        # Set while this process stops: all upstreams are then published as
+        # draining, so that they get no new requests.
+        self.draining = False
         self.leases: dict[str, Lease] = {}
-        # Upstreams that left, and until when an announcement without a
-        # newer incarnation is refused.
+        # Upstreams that left.  Until the lease expires, an announcement
+        # without a newer incarnation is refused.
         self.departed: dict[str, Lease] = {}
         self.lifetimes = lifetimes.Lifetimes()
-        # Returns the newest incarnation of an upstream of a service that
-        # the fleet knows of.
-        self.elsewhere: typing.Callable[[str, str], int] = _nobody
+        # Returns the newest incarnation of an upstream in the directory of
+        # the fleet, given its service and id; 0 if there is none.
+        self.fleet_incarnation: typing.Callable[[str, str], int] = (
+            _no_incarnation
+        )
         self.sequence = 0
 
     def announce(
@@ -110,157 +115,189 @@
         wall_ms: int,
         number: int = 0,
     ) -> expression.Result[Announcement, codes.Failure]:
-        """Take an announcement or a renewal.
+        """Accept an announcement or a renewal of one.
 
         :param name: id of the upstream.
-        :param wall_ms: becomes the incarnation where none is given.
-        :param number: grows with each announcement of an upstream, so that
-            one that was delayed is told; 0 where they bear none.
+        :param wall_ms: time in ms since 1970; the incarnation if none is
+            given and none is known.
+        :param number: grows with each announcement of an upstream, so that a
+            delayed one is recognised; 0 if announcements have no number.
         """
-        wrong = _wrong(name, announcement, number)
-        if wrong:
-            return codes.fail(codes.ANNOUNCEMENT_INVALID, wrong)
+        violations = _violations(name, announcement, number)
+        if violations:
+            return codes.fail(codes.ANNOUNCEMENT_INVALID, violations)
         known = self.leases.get(name) or self.departed.get(name)
         if known is None and len(self.leases) >= MAX_UPSTREAMS:
             return codes.fail(codes.TOO_MANY_UPSTREAMS, name)
         if not announcement.incarnation:
-            # Without one, only the number tells what is late.
-            if 0 < number < self.lifetimes.number(name):
+            # Without an incarnation, only the number shows that an
+            # announcement was delayed.
+            if 0 < number < self.lifetimes.last_number(name):
                 return codes.fail(codes.ANNOUNCEMENT_OLD, name)
             started = (
                 known.announcement.incarnation
                 if known
-                else self.lifetimes.next(name, wall_ms)
+                else self.lifetimes.next_incarnation(name, wall_ms)
             )
             announcement = announcement._replace(incarnation=started)
-        if self._old(name, announcement, number):
+        if self._is_outdated(name, announcement, number):
             return codes.fail(codes.ANNOUNCEMENT_OLD, name)
-        self._supersede(name, announcement)
-        self._note(name, announcement, number)
+        self._end_predecessors(name, announcement)
+        self._update_lifetime(name, announcement, number)
         self._store(name, announcement)
         return expression.Ok(announcement)
 
-    def _old(self, name: str, said: Announcement, number: int) -> bool:
-        """Tell whether an announcement is older than what is known."""
-        if self.lifetimes.newer(name, said.incarnation, number, said.state):
+    def _is_outdated(
+        self, name: str, announcement: Announcement, number: int
+    ) -> bool:
+        """Tell whether an announcement must be refused as outdated.
+
+        It is, if a newer announcement or start of the upstream is known, or
+        a newer start of another upstream at its address.
+        """
+        if self.lifetimes.has_newer(
+            name, announcement.incarnation, number, announcement.state
+        ):
             return True
         if name in self.leases:
             return False
-        if self.elsewhere(said.service, name) > said.incarnation:
-            # The newer life announces itself at another host.
+        if (
+            self.fleet_incarnation(announcement.service, name)
+            > announcement.incarnation
+        ):
+            # A newer start of the upstream is announced on another host.
             return True
-        return said.state != interfaces.GONE and any(
-            lease.announcement.incarnation > said.incarnation
-            for lease in self._rivals(name, said).values()
+        return announcement.state != interfaces.GONE and any(
+            lease.announcement.incarnation > announcement.incarnation
+            for lease in self._others_at_address(name, announcement).values()
         )
 
-    def _note(self, name: str, said: Announcement, number: int) -> None:
-        until = clock.now() + lifetimes.REMEMBER_S
-        self.lifetimes.note(name, said.incarnation, number, said.state, until)
+    def _update_lifetime(
+        self, name: str, announcement: Announcement, number: int
+    ) -> None:
+        expires_at = clock.now() + lifetimes.RETENTION_S
+        self.lifetimes.update(
+            name,
+            announcement.incarnation,
+            number,
+            announcement.state,
+            expires_at,
+        )
 
-    def _rivals(self, name: str, said: Announcement) -> dict[str, Lease]:
-        """Return the leases of others at the same address.
+    def _others_at_address(
+        self, name: str, announcement: Announcement
+    ) -> dict[str, Lease]:
+        """Return the leases of other upstreams at the same address.
 
-        Behind a gateway, where an address belongs to one upstream at a time.
+        There are none without a gateway.  Behind one, an address belongs to
+        one upstream at a time.
         """
         if self.gateway is None:
             return {}
         return {
             other: lease
             for other, lease in self.leases.items()
-            if other != name and lease.announcement.address == said.address
+            if other != name
+            and lease.announcement.address == announcement.address
         }
 
-    def _supersede(self, name: str, said: Announcement) -> None:
-        """End the leases of others at the same address behind a gateway.
+    def _end_predecessors(self, name: str, announcement: Announcement) -> None:
+        """End the leases of other upstreams at the same address.
 
-        An upstream that crashed says nothing.  Its successor at its address
-        has another id; until the old lease ended by itself, half of the work
-        would be meant for an upstream that is gone.
+        An upstream that crashes does not withdraw its announcement, and its
+        successor at the address has another id.  Until the old lease
+        expired, half of the requests would be addressed to an upstream that
+        no longer exists.
         """
-        self._end(self._rivals(name, said))
+        self._end_leases(self._others_at_address(name, announcement))
 
-    def moved(self, upstream: interfaces.Upstream) -> None:
-        """End the lease of a life that is over: its id goes on elsewhere.
+    def end_if_moved(self, upstream: interfaces.Upstream) -> None:
+        """End the lease of an upstream that has started on another host.
 
-        :param upstream: as the directory has it.
+        :param upstream: the newest entry of the directory with its id.
         """
         lease = self.leases.get(upstream.id)
         if lease is None:
             return
         if upstream.incarnation > lease.announcement.incarnation:
-            self._end([upstream.id])
+            self._end_leases([upstream.id])
 
     def withdraw(self, names: typing.Collection[str]) -> None:
-        """End leases that were no upstream's own, as if they had expired."""
-        self._end([name for name in names if name in self.leases])
+        """End leases that were not taken by the upstreams themselves.
 
-    def _end(self, names: typing.Collection[str]) -> None:
-        """End leases whose upstreams are gone without a word."""
+        The effect is that of expiry: the upstreams may announce themselves
+        again at once.
+        """
+        self._end_leases([name for name in names if name in self.leases])
+
+    def _end_leases(self, names: typing.Collection[str]) -> None:
+        """End leases of upstreams that did not announce that they leave."""
         if not names:
             return
         for name in names:
             del self.leases[name]
         self.sequence += 1
         for name in names:
-            self._tell(name)
+            self._notify(name)
         self.publish(True)
 
     def drain_all(self) -> None:
-        """Announce all upstreams as leaving: this host's process stops."""
-        self.closing = True
+        """Publish all upstreams as draining, since this process stops."""
+        self.draining = True
         self.sequence += 1
         self.publish(True)
 
-    def _tell(self, name: str) -> None:
+    def _notify(self, name: str) -> None:
         for callback in self.callbacks:
             callback(name)
 
     def remove(
         self, name: str, incarnation: int = 0
     ) -> expression.Result[None, codes.Failure]:
-        """Take the leave of an upstream; unknown ones have left already.
+        """Remove an upstream that leaves; succeed if it is not known.
 
-        A leave may overtake the announcements of its life, the first ones
-        too: it is remembered also where nothing stands that it could end.
+        The removal may overtake announcements of the same incarnation, even
+        the first one.  So it is remembered even if there is no lease to end.
 
-        :param incarnation: the life that leaves; 0 for the one that stands.
+        :param incarnation: the incarnation that leaves; 0 for the one that
+            has the lease.
         """
         lease = self.leases.get(name)
         gone = interfaces.GONE
-        remember_s = lifetimes.REMEMBER_S
+        retention_s = lifetimes.RETENTION_S
         if not incarnation:
             if lease is None:
                 return expression.Ok(None)
             incarnation = lease.announcement.incarnation
-            # It may be a late one of a former life; the one that stands then
-            # goes on announcing itself, and is not kept out for longer.
-            remember_s = self.lease_s
+            # The removal may be a delayed one of an earlier incarnation.  The
+            # running upstream then continues to announce itself and must
+            # not be refused for longer than a lease.
+            retention_s = self.lease_s
         if not bounds.number_ok(incarnation):
             return codes.fail(codes.ANNOUNCEMENT_INVALID, 'incarnation')
         if not bounds.name_ok(name):
             return codes.fail(codes.ANNOUNCEMENT_INVALID, 'id')
-        if self.lifetimes.newer(name, incarnation, 0, gone):
+        if self.lifetimes.has_newer(name, incarnation, 0, gone):
             return codes.fail(codes.ANNOUNCEMENT_OLD, name)
-        until = clock.now() + remember_s
-        self.lifetimes.note(name, incarnation, 0, gone, until)
+        expires_at = clock.now() + retention_s
+        self.lifetimes.update(name, incarnation, 0, gone, expires_at)
         if lease is not None:
-            said = lease.announcement._replace(
+            announcement = lease.announcement._replace(
                 state=gone, incarnation=incarnation
             )
-            self._store(name, said)
+            self._store(name, announcement)
         return expression.Ok(None)
 
     def rows(self) -> tuple[messages.Row, ...]:
-        """Return the rows of the record."""
+        """Return the rows of this host's record, ordered by id."""
         return tuple(
-            _row(name, lease, self.gateway, self.closing)
+            _row(name, lease, self.gateway, self.draining)
             for name, lease in sorted(self.leases.items())
         )
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """End the leases that were not renewed."""
+        """End expired leases at intervals of ``SWEEP_S``."""
         last = clock.now()
         while not self.should_stop:
             await asyncio.sleep(SWEEP_S)
@@ -269,14 +306,14 @@
             last = now
 
     def expire(self, now: float, late: float) -> None:
-        """End old leases.
+        """End the leases that have expired.
 
-        A process that stood still for some seconds finds every lease ended
-        at once, though the upstreams renewed in vain.  The time that it
-        stood still is therefore added to each lease.
+        After a stall of some seconds, a process finds all leases expired at
+        once, although the upstreams sent renewals that it could not read.
+        The duration of a stall is therefore added to each lease.
 
-        :param now: monotonic time.
-        :param late: seconds by which this call comes late.
+        :param now: monotonic time in seconds.
+        :param late: seconds by which this call is late.
         """
         if late > SWEEP_S:
             self.leases = {
@@ -286,23 +323,25 @@
         ended = [
             n for n, lease in self.leases.items() if lease.expires_at <= now
         ]
-        self._end(ended)
+        self._end_leases(ended)
         old = [
             n for n, lease in self.departed.items() if lease.expires_at <= now
         ]
         for name in old:
             del self.departed[name]
-        self.lifetimes.forget(now, self.leases)
+        self.lifetimes.drop_expired(now, self.leases)
 
     def _store(self, name: str, announcement: Announcement) -> None:
-        until = clock.now() + self.lease_s
+        expires_at = clock.now() + self.lease_s
         known = self.leases.get(name)
         if known is not None and known.announcement == announcement:
-            self.leases[name] = known._replace(expires_at=until)
+            self.leases[name] = known._replace(expires_at=expires_at)
             return
         if announcement.state == interfaces.GONE:
             self.leases.pop(name, None)
-            self.departed[name] = Lease(announcement, until, self.sequence)
+            self.departed[name] = Lease(
+                announcement, expires_at, self.sequence
+            )
             if len(self.departed) > MAX_UPSTREAMS:
                 del self.departed[next(iter(self.departed))]
         else:
@@ -311,55 +350,59 @@
             return
         self.sequence += 1
         if announcement.state != interfaces.GONE:
-            self.leases[name] = Lease(announcement, until, self.sequence)
-        self._tell(name)
-        # Leaving can't wait for others; arriving can.
+            self.leases[name] = Lease(announcement, expires_at, self.sequence)
+        self._notify(name)
+        # A drain or a removal is published at once; an arrival can wait
+        # to be published together with others.
         self.publish(announcement.state != interfaces.UP)
 
 
 def _row(
-    name: str, lease: Lease, gateway: str | None, closing: bool
+    name: str, lease: Lease, gateway: str | None, draining: bool
 ) -> messages.Row:
-    said = lease.announcement
-    state = interfaces.DRAINING if closing else said.state
+    announcement = lease.announcement
+    state = interfaces.DRAINING if draining else announcement.state
     return messages.Row(
         name,
-        said.service,
-        gateway or said.address,
-        said.slots,
-        round(said.weight * messages.MILLI),
-        round(said.warmup_s * messages.MILLI),
+        announcement.service,
+        gateway or announcement.address,
+        announcement.slots,
+        round(announcement.weight * messages.MILLI),
+        round(announcement.warmup_s * messages.MILLI),
         messages.STATES.index(state),
-        said.incarnation,
+        announcement.incarnation,
         lease.sequence,
     )
 
 
-def _wrong(name: str, said: Announcement, number: int) -> str:
-    """Return what is wrong with an announcement, or nothing."""
+def _violations(name: str, announcement: Announcement, number: int) -> str:
+    """Return the violated limits of an announcement, '' if there are none."""
     checks = (
         (bounds.name_ok(name), 'id'),
-        (bounds.name_ok(said.service), 'service'),
+        (bounds.name_ok(announcement.service), 'service'),
         (bounds.number_ok(number), 'number'),
-        (settings.address_ok(said.address), 'address: no IP number and port'),
-        (0 < said.slots <= MAX_SLOTS, 'slots: 1 to %d' % MAX_SLOTS),
         (
-            1 / messages.MILLI <= said.weight <= MAX_WEIGHT,
+            settings.address_ok(announcement.address),
+            'address: must be an IPv4 address and port',
+        ),
+        (0 < announcement.slots <= MAX_SLOTS, 'slots: 1 to %d' % MAX_SLOTS),
+        (
+            1 / messages.MILLI <= announcement.weight <= MAX_WEIGHT,
             'weight: 0.001 to %d' % MAX_WEIGHT,
         ),
         (
-            0 <= said.warmup_s <= MAX_WARMUP_S,
+            0 <= announcement.warmup_s <= MAX_WARMUP_S,
             'warmup_s: 0 to %d' % MAX_WARMUP_S,
         ),
-        (bounds.number_ok(said.incarnation), 'incarnation'),
+        (bounds.number_ok(announcement.incarnation), 'incarnation'),
     )
-    return ', '.join(text for fine, text in checks if not fine)
+    return ', '.join(text for valid, text in checks if not valid)
 
 
-def read(
+def parse_announcement(
     value,
 ) -> expression.Result[Announcement, codes.Failure]:
-    """Check the decoded JSON of an announcement."""
+    """Return the announcement in a decoded JSON value, if it is valid."""
     mistakes: list[shape.Mistake] = []
     announcement = shape.build(Announcement, value, '$', mistakes)
     if mistakes:
--- a/carawaystair/membership/service.py
+++ b/carawaystair/membership/service.py
@@ -1,4 +1,4 @@
-"""Puts the parts of membership together."""
+"""The membership service of one process, composed of its parts."""
 
 import asyncio
 import math
@@ -28,33 +28,34 @@
 from carawaystair.membership import sync as syncs
 from carawaystair.membership import table as tables
 
-# An arrival waits so long for others, in seconds, and so long since the last
-# record, so that the upstreams of a host that starts travel in a few records.
-# Leaves don't wait.
+# A record with new upstreams is published this long after the first of them,
+# and not sooner than the interval after the previous record, both in seconds.
+# So the upstreams of a host that starts are sent in a few records.  Records
+# that remove or drain upstreams are published at once.
 PUBLISH_DELAY_S = 0.2
-SPACING_S = 1.0
-# A process that leaves waits so long at most, in seconds, until its
-# neighbours have acknowledged that.
-LEAVE_S = 1.5
-# And so long at least, also when the time to stop is over: a round trip
-# between regions and the poll of what is still under way.
-LEAVE_LEAST_S = 0.2
-# A process that stood still for longer trusts nothing that it knew.  Others
-# may have left and be forgotten everywhere else; by anti-entropy it would
-# bring them back.
-DOUBT_S = 60.0
+MIN_PUBLISH_INTERVAL_S = 1.0
+# Maximum time in seconds that a leaving process waits for its neighbours to
+# acknowledge its last record.
+MAX_LEAVE_WAIT_S = 1.5
+# Minimum time in seconds for the same, even if the deadline has passed: a
+# round trip between regions and the interval of polling for acknowledgements.
+MIN_LEAVE_WAIT_S = 0.2
+# After a longer stall, in seconds, a process discards what it knows of other
+# hosts.  Some may have left and been removed from all other tables; by
+# anti-entropy this process would bring them back.
+MAX_STALL_S = 60.0
 
 LOG = logs.get('membership')
 
 
 class Identity(typing.NamedTuple):
-    """Who this process is.
+    """The identity of this process, as published in its record.
 
-    :param host: the name of its host, unique in the fleet.
-    :param data_centre: the data centre of the host.
-    :param region: the region of the data centre.
-    :param peer: ``ip:port`` for messages.
-    :param gossip: ``ip:port`` for datagrams.
+    :param host: name of its host, unique in the fleet.
+    :param data_centre: data centre of the host.
+    :param region: region of the data centre.
+    :param peer: ``ip:port`` at which it takes messages.
+    :param gossip: ``ip:port`` at which it takes datagrams.
     :param control: whether it is a control host only.
     """
 
@@ -69,15 +70,16 @@
 class Membership(mode.Service):
     """Membership and directory of one process.
 
-    :param identity: who it is.
-    :param transport: its messages.
-    :param datagrams: its datagrams.
-    :param timeline: takes events.
+    :param identity: the identity of the process.
+    :param transport: sends and receives messages.
+    :param datagrams: sends and receives datagrams.
+    :param timeline: receives events.
     :param rng: the source of randomness.
     :param incarnation: grows with every start of the process.
-    :param seeds: addresses for messages of some other processes.
-    :param lease_s: seconds that an upstream's announcement holds.
-    :param gateway: where others send work for the upstreams of this host.
+    :param seeds: message addresses of processes through which to join.
+    :param lease_s: duration of an upstream's lease in seconds.
+    :param gateway: address to which other hosts send requests for the
+        upstreams of this host; None for the upstreams' own addresses.
     """
 
     def __init__(
@@ -103,25 +105,25 @@
         self.refutations = 0
         self.sequence = 0
         self.left = False
-        # By when this process must have ended, monotonic time.
+        # Monotonic time by which this process must have stopped.
         self.leave_deadline = math.inf
-        self.published = -SPACING_S
-        self.gather: asyncio.TimerHandle | None = None
+        self.published_at = -MIN_PUBLISH_INTERVAL_S
+        self.publish_timer: asyncio.TimerHandle | None = None
         self.table = tables.Table(identity.host)
-        self.table.on_accused = self.rise
+        self.table.on_accused = self.refute
         self.table.on_newer_start = self.renumber
         self.address_locations = locations.AddressLocations(self.table)
         self.members = member_lists.Members(self.table, timeline)
         self.directory = directories.Directory(self.table, timeline)
         self.registry = registries.Registry(lease_s, self.publish, gateway)
-        self.registry.elsewhere = self.directory.life
-        self.directory.subscribe(self._told)
+        self.registry.fleet_incarnation = self.directory.incarnation
+        self.directory.subscribe(self._end_moved_lease)
         self.table.set_own_record(self._record(), self._own_incarnation())
         self.flood = floods.Flood(self.table, transport)
         self.gossip = gossip.Gossip(self.table, datagrams, rng)
         self.prober = probe.Prober(self.table, self.gossip, datagrams, rng)
         self.revival = revival.Revival(self.table, self.prober, rng)
-        self.prober.suspicions.stood_still.append(self._stood_still)
+        self.prober.suspicions.stood_still.append(self._handle_stall)
         self.sync = syncs.Sync(
             self.table,
             self.flood,
@@ -147,18 +149,18 @@
 
     @property
     def joined(self) -> asyncio.Event:
-        """Return what is set once this process knows what others know.
+        """Return the event that is set once the table agrees with others.
 
-        It is set as well when no other process is named to ask.
+        It is also set if there are no seeds.
         """
         return self.sync.agreed
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes for the upstreams of this host."""
+        """Return the HTTP routes for the upstreams of this host."""
         return self.api.routes()
 
     async def on_start(self) -> None:
-        """Start the parts."""
+        """Start the services of which membership is composed."""
         parts = (
             self.directory,
             self.registry,
@@ -177,50 +179,53 @@
             await self.add_runtime_dependency(part)
 
     async def on_stop(self) -> None:
-        """Leave, unless that was done before."""
+        """Leave the fleet, unless that was done before."""
         await self.leave()
 
     async def leave(self) -> None:
-        """Tell the fleet that this process and its upstreams leave.
+        """Publish that this process and its upstreams leave the fleet.
 
-        A process that just fell silent would get new work until the others
-        have found it dead.
+        If the process only stopped, it would get new requests until other
+        processes have detected that it is dead.
         """
         if self.left:
             return
         self.left = True
         self._publish()
-        left_s = max(self.leave_deadline - clock.now(), LEAVE_LEAST_S)
-        if not await self.flood.drained(min(LEAVE_S, left_s)):
-            LOG.warning('Left without every acknowledgement.')
+        remaining_s = max(self.leave_deadline - clock.now(), MIN_LEAVE_WAIT_S)
+        if not await self.flood.drained(min(MAX_LEAVE_WAIT_S, remaining_s)):
+            LOG.warning('Left before all neighbours acknowledged it.')
 
     def publish(self, urgent: bool) -> None:
-        """Announce the upstreams of this host anew.
+        """Publish a new record with the upstreams of this host.
 
-        :param urgent: at once, not together with others soon after.
+        :param urgent: whether to publish at once instead of waiting for
+            further changes.
         """
         if urgent:
             self._publish()
-        elif self.gather is None:
+        elif self.publish_timer is None:
             loop = asyncio.get_running_loop()
             when = max(
-                loop.time() + PUBLISH_DELAY_S, self.published + SPACING_S
+                loop.time() + PUBLISH_DELAY_S,
+                self.published_at + MIN_PUBLISH_INTERVAL_S,
             )
-            self.gather = loop.call_at(when, self._publish)
+            self.publish_timer = loop.call_at(when, self._publish)
 
-    def _told(self, upstream: interfaces.Upstream) -> None:
-        """Let go of a life here whose upstream goes on elsewhere.
+    def _end_moved_lease(self, upstream: interfaces.Upstream) -> None:
+        """End the lease of an upstream that has started on another host.
 
-        Not while the table changes: this host's own record changes then.
+        This is deferred until the current change of the table is complete,
+        since it changes this host's own record.
         """
         if upstream.id in self.registry.leases:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self.registry.moved, upstream)
+            loop.call_soon(self.registry.end_if_moved, upstream)
 
-    def rise(self, incarnation: int) -> None:
-        """Refute what others say of this process.
+    def refute(self, incarnation: int) -> None:
+        """Refute a report that this process is suspect or dead.
 
-        :param incarnation: the one that they say it of.
+        :param incarnation: the incarnation in the report.
         """
         if messages.start(incarnation) > self.incarnation:
             self.renumber(messages.start(incarnation))
@@ -233,30 +238,30 @@
             self.gossip.refute()
 
     def renumber(self, incarnation: int) -> None:
-        """Number the record above one that others still hold.
+        """Publish the record with an incarnation above one that others hold.
 
         :param incarnation: the one that they hold.
         """
         if self.left or incarnation < self.incarnation:
             return
         if not bounds.process_incarnation_ok(incarnation + 1):
-            # Numbered above it, this process could tell nobody of itself.
+            # A record with a higher incarnation could not be sent.
             return
-        LOG.warning('Others know a later start of this host.')
+        LOG.warning('Other processes know a later start of this host.')
         self.incarnation = incarnation + 1
         self.refutations = 0
         self._publish()
 
     def _own_incarnation(self) -> int:
-        """Return the incarnation that probes are answered with."""
+        """Return the incarnation with which this process answers probes."""
         return messages.first(self.incarnation) + self.refutations
 
     def _publish(self) -> None:
-        if self.gather is not None:
-            self.gather.cancel()
-            self.gather = None
+        if self.publish_timer is not None:
+            self.publish_timer.cancel()
+            self.publish_timer = None
         self.sequence += 1
-        self.published = clock.now()
+        self.published_at = clock.now()
         record = self._record()
         urgent = messages.takes_away(self.table.own_entry.record, record)
         self.table.set_own_record(record, self._own_incarnation())
@@ -264,31 +269,33 @@
         if urgent:
             self.interest.push(record)
 
-    def _stood_still(self, late: float) -> None:
-        """Take note that this process stood still.
+    def _handle_stall(self, late: float) -> None:
+        """Lower the confidence in own probes after a stall; rejoin if long.
 
-        :param late: for so many seconds.
+        :param late: duration of the stall in seconds.
         """
         self.prober.awareness.worsen()
-        if late < DOUBT_S:
+        if late < MAX_STALL_S:
             return
-        LOG.warning('Stood still; joins anew.', seconds=round(late))
+        LOG.warning(
+            'Process stalled; joining the fleet again.', seconds=round(late)
+        )
         self.joined.clear()
         for entry in list(self.table.live_entries()):
             self.table.presume_dead(entry.member.host)
 
     def _record(self) -> messages.Record:
-        who = self.identity
+        identity = self.identity
         body = messages.Body(
-            who.data_centre,
-            who.region,
-            who.peer,
-            who.gossip,
-            who.control,
+            identity.data_centre,
+            identity.region,
+            identity.peer,
+            identity.gossip,
+            identity.control,
             () if self.left else self.registry.rows(),
         )
         return messages.Record(
-            who.host,
+            identity.host,
             self.incarnation,
             self.sequence,
             self.left,
--- a/carawaystair/membership/table.py
+++ b/carawaystair/membership/table.py
@@ -1,9 +1,9 @@
-"""The table of hosts: the newest record of each, and whether it lives.
+"""The table of hosts: the newest record and the liveness of each.
 
-Two things are known of a host, each with its own order.  Its *record* is
-numbered by the host alone.  Its *liveness* follows the rules of SWIM (Das,
-Gupta and Motivala, 2002): any process may suspect it or declare it dead at
-an incarnation, and only the host itself raises the incarnation.
+Record and liveness of a host are versioned independently.  The *record* is
+numbered by the host alone.  The *liveness* follows the rules of SWIM (Das,
+Gupta and Motivala, 2002): any process may suspect a host or declare it dead
+at an incarnation, and only the host itself increases the incarnation.
 """
 
 import sys
@@ -17,29 +17,31 @@
 from carawaystair.membership import messages
 from carawaystair import output
 
-# What may be said of a host; that it has left stands in its record alone.
-TOLD = (messages.ALIVE, messages.SUSPECT, messages.DEAD)
-# Lines a second about records that are refused, whole or in part: a peer
-# that has a malformed one offers it again with each comparison.
-REFUSED_LINES = 1
+# States that other processes may report of a host.  That it has left is only
+# in its own record.
+REPORTED_STATES = (messages.ALIVE, messages.SUSPECT, messages.DEAD)
+# Log lines per second about records that are refused completely or in part.
+# Limited, because a peer that holds a malformed record offers it again with
+# each comparison.
+REFUSED_LINES_PER_S = 1
 REFUSED = 'refused'
-# More hosts than this are not taken in: a faulty or hostile peer that makes
-# up names must not fill the memory.  Four times the size designed for.
+# Limit on the number of hosts, so that a faulty or hostile peer that invents
+# names can't exhaust the memory.  Four times the size designed for.
 MAX_HOSTS = 10_000
 
 LOG = logs.get('membership')
 
 
 class Entry:
-    """What is known of one host.
+    """Record and liveness of one host.
 
     :ivar record: its newest record.
-    :ivar member: who it is, decoded from the record; its incarnation is
+    :ivar member: its identity, decoded from the record; the incarnation is
         that of its liveness.
-    :ivar state: ``messages.ALIVE`` and so on.
-    :ivar since: monotonic time at which it came into that state.
+    :ivar state: one of ``messages.ALIVE``, ``SUSPECT``, ``DEAD``, ``LEFT``.
+    :ivar state_since: monotonic time of the last change of the state.
     :ivar bucket: its bucket in the digests.
-    :ivar marks: what it adds to the two digests.
+    :ivar marks: its contribution to each of the two digests.
     """
 
     __slots__ = (
@@ -66,16 +68,16 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether the host is believed alive."""
+        """Tell whether the host is believed to be alive."""
         return self.state <= messages.SUSPECT
 
 
 class Change(typing.NamedTuple):
-    """A change of the table.
+    """A change of one entry of the table.
 
-    :param entry: the entry, changed already.
-    :param old_state: its state before; None for a new host.
-    :param old_record: its record before; None for a new host.
+    :param entry: the entry after the change.
+    :param old_state: state before the change; None for a new host.
+    :param old_record: record before the change; None for a new host.
     """
 
     entry: Entry
@@ -84,54 +86,55 @@
 
     @property
     def was_up(self) -> bool:
-        """Tell whether the host was believed alive before."""
+        """Tell whether the host was believed to be alive before."""
         return (
             self.old_state is not None and self.old_state <= messages.SUSPECT
         )
 
 
 def _ignore(_value) -> None:
-    """Stand in until somebody listens."""
+    """Do nothing; the default of a callback."""
 
 
 class Table:
-    """The hosts that this process knows of, its own included.
+    """All known hosts, including the own one.
 
-    :param host: the own host.
+    :param host: name of the own host.
     """
 
     def __init__(self, host: str) -> None:
         self.host = host
         self.entries: dict[str, Entry] = {}
-        # Hosts believed dead, to be probed now and then.
+        # Names of hosts believed to be dead, which are probed occasionally.
         self.dead: set[str] = set()
         self.digests = (digest.Digest(), digest.Digest())
         # Monotonic time of the last change of each digest.
         self.digest_changed_at = [0.0, 0.0]
         self.listeners: list[typing.Callable[[Change], None]] = []
-        # Called when others believe this process dead or suspect, with the
-        # incarnation, and when they know of a later start of this host.
+        # Called with the incarnation when other processes believe this one to
+        # be suspect or dead, and when they know of a later start of it.
         self.on_accused: typing.Callable[[int], None] = _ignore
         self.on_newer_start: typing.Callable[[int], None] = _ignore
         self.refused_records = 0
-        self.room = output.Room({REFUSED: REFUSED_LINES})
-        self.cached: list[Entry] | None = None
+        self.line_limit = output.Room({REFUSED: REFUSED_LINES_PER_S})
+        # Cache of ``live_entries``.
+        self.live: list[Entry] | None = None
 
     @property
     def own_entry(self) -> Entry:
-        """Return the own entry."""
+        """Return the entry of the own host."""
         return self.entries[self.host]
 
     def live_entries(self) -> list[Entry]:
-        """Return the entries believed alive; not to be changed."""
-        if self.cached is None:
-            self.cached = [e for e in self.entries.values() if e.up]
-        return self.cached
+        """Return the entries of live hosts; not to be modified by callers."""
+        if self.live is None:
+            self.live = [e for e in self.entries.values() if e.up]
+        return self.live
 
     def put(self, record: messages.Record) -> bool:
-        """Take in a record.
+        """Store a record that is newer than the one in the table.
 
-        :return: whether it is news here.
+        :return: whether it was stored.
         """
         if not bounds.record_ok(record):
             self._refuse(record, 'out of bounds')
@@ -140,17 +143,19 @@
         if entry is not None and record.version <= entry.record.version:
             return False
         if record.host == self.host:
-            # Others hold a newer record of this host than this process
-            # itself: it restarted behind a clock that was set back.
+            # Others hold a newer record of this host: this process was
+            # restarted after the clock had been set back.
             self.on_newer_start(record.incarnation)
             return False
         body, left_out = messages.read(record.body)
         full = entry is None and len(self.entries) >= MAX_HOSTS
         if body is None or full:
-            self._refuse(record, 'no room' if full else 'malformed')
+            self._refuse(record, 'host table full' if full else 'malformed')
             return False
         if left_out:
-            self._tell_refused(record, '%d upstreams left out' % left_out)
+            self._log_refused(
+                record, '%d invalid upstreams left out' % left_out
+            )
         if entry is None:
             self._add(record, body)
         else:
@@ -159,16 +164,16 @@
 
     def _refuse(self, record: messages.Record, why: str) -> None:
         self.refused_records += 1
-        self._tell_refused(record, why)
+        self._log_refused(record, why)
 
-    def _tell_refused(self, record: messages.Record, why: str) -> None:
-        if self.room.take(int(clock.now()), REFUSED):
+    def _log_refused(self, record: messages.Record, why: str) -> None:
+        if self.line_limit.take(int(clock.now()), REFUSED):
             LOG.warning(
                 'Refused a record.',
                 of=record.host[: bounds.MAX_NAME],
                 why=why,
                 total=self.refused_records,
-                left_out=self.room.tell(),
+                left_out=self.line_limit.tell(),
             )
 
     def set_own_record(
@@ -176,7 +181,7 @@
     ) -> None:
         """Set the record of this process.
 
-        :param incarnation: the incarnation that it answers probes with.
+        :param incarnation: the one with which it answers probes.
         """
         body = messages.unpack(record.body)
         entry = self.entries.get(record.host)
@@ -187,17 +192,18 @@
         entry.record = record
         entry.member = member(record, body)._replace(incarnation=incarnation)
         entry.state = messages.LEFT if record.left else messages.ALIVE
-        self._tell(change)
+        self._notify(change)
 
     def apply_liveness(self, host: str, state: int, incarnation: int) -> bool:
-        """Take in what is said of a host's liveness.
+        """Apply a report of another process on the liveness of a host.
 
-        :return: whether it is news here.
+        :return: whether it changed the entry of the host.
         """
         entry = self.entries.get(host)
-        if state not in TOLD or not bounds.number_ok(incarnation):
-            # A state that nobody knows could never be forgotten, and whoever
-            # refuted such a number would have to go above what travels.
+        if state not in REPORTED_STATES or not bounds.number_ok(incarnation):
+            # A host in an unknown state would never be removed from the
+            # table, and to refute an incarnation beyond the limit, a host
+            # would need one that can't be sent.
             return False
         if entry is None or entry.state == messages.LEFT:
             return False
@@ -210,51 +216,51 @@
             return False
         newer = messages.start(incarnation) > entry.record.incarnation
         if state == messages.ALIVE and newer:
-            # Its process has started anew.  Were it taken for alive now,
-            # the upstreams that the old process announced would be listed
-            # again; the new record says which of them there are.
+            # The process was restarted.  If the host were set alive now, the
+            # upstreams in the record of the old process would be listed
+            # again.  The new record tells which of them still exist.
             return False
-        self._turn(entry, state, incarnation)
+        self._set_state(entry, state, incarnation)
         return True
 
     def presume_dead(self, host: str) -> None:
-        """Hold a host for dead without holding it against the host.
+        """Set a host dead at incarnation 0.
 
-        A process that reaches nobody is likely the one that is cut off.
-        With the incarnation forgotten, any sign of life brings the host
-        back; it need not refute a death that only this process believed in.
+        A process that reaches no other one is probably isolated itself.
+        With incarnation 0, any report that the host is alive sets it alive
+        again; it need not refute a death that only this process assumed.
         """
         entry = self.entries[host]
         if entry.up and host != self.host:
-            self._turn(entry, messages.DEAD, 0)
+            self._set_state(entry, messages.DEAD, 0)
 
     def forget(self, host: str) -> None:
-        """Drop a host that is not believed alive."""
+        """Remove a host from the table, unless it is believed to be alive."""
         entry = self.entries.get(host)
         if entry is not None and not entry.up:
             del self.entries[host]
             self.dead.discard(host)
 
-    def _turn(self, entry: Entry, state: int, incarnation: int) -> None:
+    def _set_state(self, entry: Entry, state: int, incarnation: int) -> None:
         change = Change(entry, entry.state, entry.record)
         if entry.state != state:
             entry.state_since = clock.now()
         entry.state = state
         entry.member = entry.member._replace(incarnation=incarnation)
-        self._tell(change)
+        self._notify(change)
 
     def _add(self, record: messages.Record, body: messages.Body) -> None:
         entry = Entry(record, member(record, body), clock.now())
         self.entries[entry.member.host] = entry
-        self._tell(Change(entry, None, None))
+        self._notify(Change(entry, None, None))
 
     def _replace(
         self, entry: Entry, record: messages.Record, body: messages.Body
     ) -> None:
         change = Change(entry, entry.state, entry.record)
-        born = messages.first(record.incarnation)
-        restarted = born > entry.member.incarnation
-        incarnation = max(born, entry.member.incarnation)
+        first_incarnation = messages.first(record.incarnation)
+        restarted = first_incarnation > entry.member.incarnation
+        incarnation = max(first_incarnation, entry.member.incarnation)
         entry.record = record
         entry.member = member(record, body)._replace(incarnation=incarnation)
         if record.left:
@@ -263,22 +269,22 @@
             entry.state = messages.ALIVE
         if entry.state != change.old_state:
             entry.state_since = clock.now()
-        self._tell(change)
+        self._notify(change)
 
-    def _tell(self, change: Change) -> None:
+    def _notify(self, change: Change) -> None:
         entry = change.entry
         if change.was_up != entry.up:
-            self.cached = None
+            self.live = None
         if entry.state == messages.DEAD:
             self.dead.add(entry.member.host)
         else:
             self.dead.discard(entry.member.host)
-        self._mark(entry)
+        self._update_digests(entry)
         for listener in self.listeners:
             listener(change)
 
-    def _mark(self, entry: Entry) -> None:
-        """Bring the digests up to date with an entry."""
+    def _update_digests(self, entry: Entry) -> None:
+        """Update the digests with the contribution of an entry."""
         host = entry.member.host
         marks = (0, 0)
         if entry.up:
@@ -297,14 +303,14 @@
 def _overrides(
     state: int, incarnation: int, old_state: int, old_incarnation: int
 ) -> bool:
-    """Tell whether one statement about a host beats another (SWIM 4.2)."""
+    """Tell whether a state overrides the old one (SWIM, section 4.2)."""
     if incarnation != old_incarnation:
         return incarnation > old_incarnation
     return state > old_state
 
 
 def member(record: messages.Record, body: messages.Body) -> interfaces.Member:
-    """Return the process that a record is about."""
+    """Return the member that a record describes."""
     return interfaces.Member(
         sys.intern(record.host),
         sys.intern(body.data_centre),
