--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the directory: what it makes of records."""
+"""Tests of the directory that is built from records."""
 
 from carawaystair.membership import directory as directories
 from carawaystair.membership import messages
@@ -9,7 +9,7 @@
 
 
 def row(name, service='stock', incarnation=1, sequence=1, state=0):
-    """Return a made-up row."""
+    """Return a row with the given fields and defaults for the others."""
     address = '127.0.0.1:9000'
     return messages.Row(
         name, service, address, 4, 500, 1500, state, incarnation, sequence
@@ -17,7 +17,10 @@
 
 
 class Fixture:
-    """A directory over a table, and what it told."""
+    """A directory on a table, and the notifications of its subscriber.
+
+    :ivar told: id, host and state of each upstream in a notification.
+    """
 
     def __init__(self):
         self.table = tables.Table('me')
@@ -29,16 +32,16 @@
         )
 
     def put(self, host, sequence, *rows, **kwargs):
-        """Take in a record."""
+        """Store a record with the given rows in the table."""
         self.table.put(spread.record(host, 1, sequence, rows, **kwargs))
 
     def ids(self, service='stock'):
-        """Return ids and hosts of a service."""
+        """Return id and host of each upstream of a service."""
         return [(u.id, u.host) for u in self.directory.upstreams(service)]
 
 
 def run(steps):
-    """Run the steps of a test with a fixture, in virtual time."""
+    """Run the steps of a test with a new fixture, in virtual time."""
 
     async def _run():
         steps(Fixture())
@@ -46,123 +49,124 @@
     fakes.run(_run())
 
 
-def test_changes_are_told_and_lookups_follow():
-    def _steps(it):
-        it.put('h1', 1, row('a'), row('b', 'parts'))
-        found = it.directory.upstreams('stock')
+def test_changes_are_notified_and_listed():
+    def _steps(fixture):
+        fixture.put('h1', 1, row('a'), row('b', 'parts'))
+        found = fixture.directory.upstreams('stock')
         assert (found[0].weight, found[0].warmup_s) == (0.5, 1.5)
-        assert it.ids() == [('a', 'h1')]
-        it.put('h2', 1, row('c'))
-        assert it.ids() == [('a', 'h1'), ('c', 'h2')]
-        it.put('h1', 2, row('a', state=1, sequence=2))
-        assert it.told == [
+        assert fixture.ids() == [('a', 'h1')]
+        fixture.put('h2', 1, row('c'))
+        assert fixture.ids() == [('a', 'h1'), ('c', 'h2')]
+        fixture.put('h1', 2, row('a', state=1, sequence=2))
+        assert fixture.told == [
             ('a', 'h1', 'up'),
             ('b', 'h1', 'up'),
             ('c', 'h2', 'up'),
             ('b', 'h1', 'gone'),
             ('a', 'h1', 'draining'),
         ]
-        assert it.directory.services() == ('stock',)
-        assert it.ids('parts') == []
+        assert fixture.directory.services() == ('stock',)
+        assert fixture.ids('parts') == []
 
     run(_steps)
 
 
-def test_upstreams_of_the_dead_are_hidden_and_come_back():
-    def _steps(it):
-        it.put('h1', 1, row('a'))
-        assert it.ids() == [('a', 'h1')]
-        it.table.apply_liveness('h1', messages.SUSPECT, messages.first(1))
-        assert it.ids() == [('a', 'h1')]
-        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
-        assert it.ids() == []
-        it.put('h1', 2, row('a'), row('b'))
-        assert it.ids() == []
-        it.table.apply_liveness('h1', messages.ALIVE, messages.first(1) + 1)
-        assert it.ids() == [('a', 'h1'), ('b', 'h1')]
-        states = [state for _id, _host, state in it.told]
+def test_upstreams_of_dead_hosts_are_not_listed_until_they_are_alive():
+    def _steps(fixture):
+        fixture.put('h1', 1, row('a'))
+        assert fixture.ids() == [('a', 'h1')]
+        fixture.table.apply_liveness('h1', messages.SUSPECT, messages.first(1))
+        assert fixture.ids() == [('a', 'h1')]
+        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        assert fixture.ids() == []
+        fixture.put('h1', 2, row('a'), row('b'))
+        assert fixture.ids() == []
+        fixture.table.apply_liveness(
+            'h1', messages.ALIVE, messages.first(1) + 1
+        )
+        assert fixture.ids() == [('a', 'h1'), ('b', 'h1')]
+        states = [state for _id, _host, state in fixture.told]
         assert states == ['up', 'gone', 'up', 'up']
 
     run(_steps)
 
 
-def test_a_restart_does_not_bring_the_old_upstreams_back():
-    """A process crashes, is declared dead and starts anew.
+def test_upstreams_of_the_old_process_are_not_listed_after_a_restart():
+    """A process crashes, is declared dead and is restarted.
 
-    Symptom: for a moment upstreams that it knew before are listed as up.
-    Sequence: it answers a probe before its new record has arrived.  Cause:
-    the new process is taken for the old one, refuting its death.
+    It answers a probe before its new record has arrived.  If that were taken
+    for a refutation by the old process, the upstreams in the old record would
+    be listed as up for a moment.
     """
 
-    def _steps(it):
-        it.put('h1', 1, row('a'))
-        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
-        assert not it.table.apply_liveness(
+    def _steps(fixture):
+        fixture.put('h1', 1, row('a'))
+        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        assert not fixture.table.apply_liveness(
             'h1', messages.ALIVE, messages.first(2)
         )
-        assert it.ids() == []
-        it.table.put(spread.record('h1', 2, 0, (row('b'),)))
-        assert it.ids() == [('b', 'h1')]
+        assert fixture.ids() == []
+        fixture.table.put(spread.record('h1', 2, 0, (row('b'),)))
+        assert fixture.ids() == [('b', 'h1')]
 
     run(_steps)
 
 
 def test_an_upstream_that_moves_is_listed_once():
-    """An upstream moves to another host before the old one is found dead.
+    """An upstream moves to another host before the old one is declared dead.
 
-    Symptom: it is listed twice and gets twice the work; or it is listed no
-    more when the old host's record goes.  Sequence: host lost, upstream
-    started elsewhere under the same id, old host declared dead.  Cause: ids
-    taken as unique while they are not.
+    The host is lost, the upstream is started on another one under the same
+    id, and then the old host is declared dead.  If ids were assumed to be
+    unique, the upstream would be listed twice and get twice the requests, or
+    it would no longer be listed after the old host's record is removed.
     """
 
-    def _steps(it):
-        it.put('h1', 1, row('a', incarnation=1))
-        assert it.ids() == [('a', 'h1')]
-        it.put('h2', 1, row('a', incarnation=2))
-        assert it.ids() == [('a', 'h2')]
-        it.table.apply_liveness('h1', messages.DEAD, messages.first(1))
-        assert it.ids() == [('a', 'h2')]
-        assert it.told[-1] == ('a', 'h2', 'up')
-        it.put('h2', 2)
-        assert it.ids() == []
-        assert it.told[-1] == ('a', 'h2', 'gone')
+    def _steps(fixture):
+        fixture.put('h1', 1, row('a', incarnation=1))
+        assert fixture.ids() == [('a', 'h1')]
+        fixture.put('h2', 1, row('a', incarnation=2))
+        assert fixture.ids() == [('a', 'h2')]
+        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        assert fixture.ids() == [('a', 'h2')]
+        assert fixture.told[-1] == ('a', 'h2', 'up')
+        fixture.put('h2', 2)
+        assert fixture.ids() == []
+        assert fixture.told[-1] == ('a', 'h2', 'gone')
 
     run(_steps)
 
 
-def test_events_are_kept_for_services_in_use_only():
-    def _steps(it):
-        it.put('h1', 1, row('a'))
-        it.directory.mark_in_use('stock')
-        it.put('h1', 2, row('a'), row('b'), row('c', 'parts'))
-        events = [(e.kind, e.upstream) for e in it.timeline.ring]
+def test_events_are_recorded_for_services_in_use_only():
+    def _steps(fixture):
+        fixture.put('h1', 1, row('a'))
+        fixture.directory.mark_in_use('stock')
+        fixture.put('h1', 2, row('a'), row('b'), row('c', 'parts'))
+        events = [(e.kind, e.upstream) for e in fixture.timeline.ring]
         assert events == [('upstream-up', 'b')]
 
     run(_steps)
 
 
-def test_an_unknown_service_leaves_nothing_behind():
-    def _steps(it):
+def test_lookups_of_unknown_services_are_not_cached():
+    def _steps(fixture):
         for number in range(100):
-            assert it.directory.upstreams('no-%d' % number) == ()
-        assert len(it.directory.cache) == 0
+            assert fixture.directory.upstreams('no-%d' % number) == ()
+        assert len(fixture.directory.cache) == 0
 
     run(_steps)
 
 
-def test_no_more_hosts_than_fit(monkeypatch):
-    """A peer makes up hosts without end.
+def test_the_number_of_hosts_is_limited(monkeypatch):
+    """A peer sends records of ever more invented hosts.
 
-    Symptom: the process runs out of memory.  Sequence: records of ever new
-    hosts.  Cause: the table takes all.
+    If the table stored all of them, the process would run out of memory.
     """
     monkeypatch.setattr(tables, 'MAX_HOSTS', 10)
 
-    def _steps(it):
+    def _steps(fixture):
         for number in range(20):
-            it.put('h%d' % number, 1)
-        assert len(it.table.entries) == 10
-        assert it.table.refused_records == 10
+            fixture.put('h%d' % number, 1)
+        assert len(fixture.table.entries) == 10
+        assert fixture.table.refused_records == 10
 
     run(_steps)
--- a/test/test_membership_leaving.py
+++ b/test/test_membership_leaving.py
@@ -1,4 +1,4 @@
-"""Steps of the feature about leaving, at the level of the directory."""
+"""Steps of ``leaving.feature``, checked in the directories of nodes."""
 
 import asyncio
 
@@ -15,31 +15,34 @@
 
 
 class World:
-    """A fleet in virtual time."""
+    """A fleet of nodes in virtual time.
+
+    :ivar first_record: the record with the first announcement of ``a``.
+    """
 
     def __init__(self):
         self.runner = asyncio.Runner(loop_factory=fakes.VirtualLoop)
         self.network = fakes.Network(seed=3)
         self.nodes = []
-        self.first = None
+        self.first_record = None
 
     def run(self, coroutine):
-        """Run a step to its end."""
+        """Run a coroutine to its end."""
         return self.runner.run(coroutine)
 
     async def wait(self, seconds):
-        """Let time pass."""
+        """Wait in virtual time."""
         await asyncio.sleep(seconds)
 
-    def up(self):
-        """Return the other nodes that list the upstream as up."""
+    def nodes_listing_up(self):
+        """Return the nodes other than the owner that list ``a`` as up."""
         others = [n for n in self.nodes if n is not self.nodes[OWNER]]
         return [n for n in others if whole.states(n).get('a') == 'up']
 
 
 @pytest.fixture
 def world():
-    """Return a world that is closed in the end."""
+    """Provide a world whose event loop is closed after the test."""
     result = World()
     yield result
     result.runner.close()
@@ -59,8 +62,8 @@
         await asyncio.sleep(1)
 
     world.run(_run())
-    assert len(world.up()) == 19
-    world.first = world.nodes[OWNER].table.own_entry.record
+    assert len(world.nodes_listing_up()) == 19
+    world.first_record = world.nodes[OWNER].table.own_entry.record
 
 
 @pytest_bdd.given(
@@ -89,7 +92,7 @@
 
 
 @pytest_bdd.when('the upstream stops renewal')
-def _silent(world):
+def _stops_renewal(world):
     async def _run():
         registry = world.nodes[OWNER].registry
         registry.lease_s = 0.0
@@ -100,13 +103,13 @@
 
 
 @pytest_bdd.when('its announcement is sent again, late and from everywhere')
-def _late(world):
+def _resent_late(world):
     async def _run():
         await asyncio.sleep(2)
-        batch = messages.Batch((world.first,))
-        for one in world.nodes:
-            for other in world.nodes:
-                one.transport.send(other.identity.peer, batch)
+        batch = messages.Batch((world.first_record,))
+        for sender in world.nodes:
+            for receiver in world.nodes:
+                sender.transport.send(receiver.identity.peer, batch)
 
     world.run(_run())
 
@@ -122,15 +125,15 @@
 @pytest_bdd.then(
     pytest_bdd.parsers.parse('within {limit:d} seconds no node lists it as up')
 )
-def _within(world, limit):
+def _unlisted_within(world, limit):
     world.run(world.wait(limit))
-    assert world.up() == []
+    assert world.nodes_listing_up() == []
 
 
 @pytest_bdd.then(
     pytest_bdd.parsers.parse('for {time:d} seconds no node lists it as up')
 )
-def _for(world, time):
+def _remains_unlisted(world, time):
     for _second in range(time * 4):
-        assert world.up() == []
+        assert world.nodes_listing_up() == []
         world.run(world.wait(0.25))
--- a/test/test_membership_registry.py
+++ b/test/test_membership_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the registry of leases and of its HTTP interface."""
+"""Tests of the registry of leases and of the local HTTP API."""
 
 import asyncio
 
@@ -13,98 +13,98 @@
 from test import fakes
 from test import test_membership as whole
 
-SAID = registries.Announcement('stock', '127.0.0.1:9000', 4)
+ANNOUNCEMENT = registries.Announcement('stock', '127.0.0.1:9000', 4)
 
 
-class Changes:
-    """A registry and what it published."""
+class RecordedRegistry:
+    """A registry that records whether each publication was urgent."""
 
     def __init__(self, lease_s=6.0):
         self.urgent = []
         self.registry = registries.Registry(lease_s, self.urgent.append)
 
-    def say(self, **changes):
-        """Announce the upstream ``a``."""
-        return self.registry.announce('a', SAID._replace(**changes), 77)
+    def announce(self, **fields):
+        """Announce the upstream ``a`` with the given fields."""
+        return self.registry.announce('a', ANNOUNCEMENT._replace(**fields), 77)
 
 
-def test_renewals_stay_local_and_an_end_is_published():
+def test_renewals_are_not_published_but_an_expired_lease_is():
     async def _run():
-        changes = Changes()
-        await changes.registry.start()
-        for _time in range(5):
-            changes.say()
+        recorded = RecordedRegistry()
+        await recorded.registry.start()
+        for _renewal in range(5):
+            recorded.announce()
             await asyncio.sleep(3)
-        assert changes.urgent == [False]
-        assert changes.registry.rows()[0].incarnation == 77
+        assert recorded.urgent == [False]
+        assert recorded.registry.rows()[0].incarnation == 77
         await asyncio.sleep(4)
-        assert changes.urgent == [False, True]
-        assert changes.registry.rows() == ()
-        # It was late, it did not leave.
-        assert changes.say().is_ok()
-        await changes.registry.stop()
+        assert recorded.urgent == [False, True]
+        assert recorded.registry.rows() == ()
+        # Its lease expired, but it did not leave, so it is accepted again.
+        assert recorded.announce().is_ok()
+        await recorded.registry.stop()
 
     fakes.run(_run())
 
 
-def test_a_late_renewal_does_not_undo_a_drain():
-    """A renewal is overtaken by the drain that was sent after it.
+def test_a_delayed_renewal_does_not_undo_a_drain():
+    """A drain overtakes the renewal that was sent before it.
 
-    Symptom: an upstream that drains gets new work.  Sequence: renewal and
-    drain cross.  Cause: the last to arrive wins.
+    If the last announcement to arrive were decisive, the renewal would undo
+    the drain, and the draining upstream would get new requests.
     """
 
     async def _run():
-        changes = Changes()
-        changes.say(incarnation=5)
-        changes.say(incarnation=5, state='draining')
-        late = changes.say(incarnation=5)
-        assert late.error.code == codes.ANNOUNCEMENT_OLD
-        changes.registry.remove('a', 5)
-        late = changes.say(incarnation=5, state='draining')
-        assert late.error.code == codes.ANNOUNCEMENT_OLD
-        assert changes.say(incarnation=4).is_error()
-        assert changes.say(incarnation=6).is_ok()
-        # The leave of the start before does not end the new one.
-        assert changes.registry.remove('a', 5).is_error()
-        assert len(changes.registry.rows()) == 1
+        recorded = RecordedRegistry()
+        recorded.announce(incarnation=5)
+        recorded.announce(incarnation=5, state='draining')
+        delayed = recorded.announce(incarnation=5)
+        assert delayed.error.code == codes.ANNOUNCEMENT_OLD
+        recorded.registry.remove('a', 5)
+        delayed = recorded.announce(incarnation=5, state='draining')
+        assert delayed.error.code == codes.ANNOUNCEMENT_OLD
+        assert recorded.announce(incarnation=4).is_error()
+        assert recorded.announce(incarnation=6).is_ok()
+        # The removal of the previous incarnation does not end the new one.
+        assert recorded.registry.remove('a', 5).is_error()
+        assert len(recorded.registry.rows()) == 1
 
     fakes.run(_run())
 
 
-def test_without_incarnation_a_leave_holds_for_a_lease():
+def test_a_removal_without_incarnation_is_remembered_for_a_lease():
     async def _run():
-        changes = Changes()
-        changes.say()
-        changes.registry.remove('a')
-        assert changes.say().is_error()
-        changes.registry.expire(asyncio.get_running_loop().time() + 6.1, 0)
-        assert changes.say().is_ok()
+        recorded = RecordedRegistry()
+        recorded.announce()
+        recorded.registry.remove('a')
+        assert recorded.announce().is_error()
+        recorded.registry.expire(asyncio.get_running_loop().time() + 6.1, 0)
+        assert recorded.announce().is_ok()
 
     fakes.run(_run())
 
 
-def test_a_process_that_stood_still_ends_no_lease():
-    """The process stands still for longer than a lease.
+def test_no_lease_expires_because_of_a_stall():
+    """The process stalls for longer than the duration of a lease.
 
-    Symptom: all upstreams of the host are gone at once.  Sequence: ten
-    seconds of standstill, during which renewals wait in the socket.  Cause:
-    leases are ended by the clock before the renewals are read.
+    During a stall of ten seconds, renewals wait in the socket.  If leases
+    expired by the clock before the renewals are read, all upstreams of the
+    host would be gone at once.
     """
 
     async def _run():
-        changes = Changes()
-        changes.say()
-        changes.registry.expire(10.0, 9.75)
-        assert len(changes.registry.rows()) == 1
-        changes.registry.expire(16.0, 0.0)
-        assert changes.registry.rows() == ()
+        recorded = RecordedRegistry()
+        recorded.announce()
+        recorded.registry.expire(10.0, 9.75)
+        assert len(recorded.registry.rows()) == 1
+        recorded.registry.expire(16.0, 0.0)
+        assert recorded.registry.rows() == ()
 
     fakes.run(_run())
 
 
 @pytest.mark.parametrize(
-    'wrong',
+    'invalid',
     [
         {'address': 'example.org:80'},
         {'slots': 0},
@@ -115,27 +115,27 @@
         {'incarnation': -1},
     ],
 )
-def test_wrong_announcements_are_refused(wrong):
+def test_invalid_announcements_are_refused(invalid):
     async def _run():
-        refused = Changes().say(**wrong)
+        refused = RecordedRegistry().announce(**invalid)
         assert refused.error.code == codes.ANNOUNCEMENT_INVALID
 
     fakes.run(_run())
 
 
-def test_a_host_has_a_bounded_number_of_upstreams():
+def test_the_number_of_upstreams_of_a_host_is_limited():
     async def _run():
-        changes = Changes()
+        recorded = RecordedRegistry()
         for number in range(registries.MAX_UPSTREAMS):
-            changes.registry.announce('u%d' % number, SAID, 1)
-        refused = changes.say()
+            recorded.registry.announce('u%d' % number, ANNOUNCEMENT, 1)
+        refused = recorded.announce()
         assert refused.error.code == codes.TOO_MANY_UPSTREAMS
-        assert changes.registry.announce('u3', SAID, 1).is_ok()
+        assert recorded.registry.announce('u3', ANNOUNCEMENT, 1).is_ok()
 
     fakes.run(_run())
 
 
-def test_the_local_interface():
+def test_upstreams_are_announced_listed_and_removed_by_http():
     async def _run():
         node = whole.make(fakes.Network(), 0)
         await node.start()
@@ -143,22 +143,22 @@
         app.add_routes(node.routes())
         async with test_utils.TestClient(test_utils.TestServer(app)) as client:
             path = '/v1/upstreams/a'
-            said = {
+            fields = {
                 'service': 'stock',
                 'address': '127.0.0.1:9000',
                 'slots': 4,
                 'incarnation': 9,
             }
-            answer = await client.put(path, json=said)
+            answer = await client.put(path, json=fields)
             body = await answer.json()
             assert answer.status == 200
             assert (body['lease_s'], body['state']) == (6.0, 'up')
-            answer = await client.put(path, json=said | {'solts': 4})
+            answer = await client.put(path, json=fields | {'solts': 4})
             assert answer.status == 400
             assert 'did you mean' in (await answer.json())['text']
             answer = await client.put(path, data=b'{')
             assert (await answer.json())['code'] == 'CS-7005'
-            # Arrivals are gathered for a moment.
+            # New upstreams are published after a delay.
             await asyncio.sleep(service.PUBLISH_DELAY_S * 1.5)
             answer = await client.get('/v1/upstreams')
             listed = (await answer.json())['services']['stock']
@@ -167,34 +167,35 @@
             assert answer.status == 409
             answer = await client.delete(path + '?incarnation=9')
             assert answer.status == 200
-            answer = await client.put(path, json=said)
+            answer = await client.put(path, json=fields)
             assert (await answer.json())['code'] == 'CS-7006'
         await node.stop()
 
     asyncio.run(_run())
 
 
-def test_what_another_writer_says_is_refused_and_changes_nothing():
-    """Symptom: a node answers 500, and its log holds a trace of an error.
-    Sequence: a program that isn't ours writes to a node's local API; among
-    what it sends are thousands of lists within each other.
-    Cause: the decoder raises an error of its own kind at its depth limit.
+def test_malformed_announcements_are_refused_and_change_nothing():
+    """Another program sends malformed bodies to the local API of a node.
+
+    Among them are thousands of nested lists, at which the decoder reaches its
+    depth limit and raises an error of another type.  If that weren't caught,
+    the node would answer 500 and log a traceback.
     """
 
     async def _run():
         node = whole.make(fakes.Network(), 0)
         await node.start()
-        node.registry.announce('a', SAID, 5)
+        node.registry.announce('a', ANNOUNCEMENT, 5)
         before = node.registry.rows()
         app = web.Application()
         app.add_routes(node.routes())
         async with test_utils.TestClient(test_utils.TestServer(app)) as client:
-            got = [
+            answers = [
                 (body[:20], (await client.put(path, data=body)).status)
                 for path in ('/v1/upstreams/a', '/v1/upstreams/b')
                 for body in entries.MALFORMED
             ]
-        assert [one for one in got if not 400 <= one[1] < 500] == []
+        assert [each for each in answers if not 400 <= each[1] < 500] == []
         assert node.registry.rows() == before
         await node.stop()
 
