--- a/carawaystair/reservations/__init__.py
+++ b/carawaystair/reservations/__init__.py
@@ -1,4 +1,4 @@
-"""At most one run for each idempotency key."""
+"""Replicated reservations: each idempotency key runs at most once."""
 
 import typing
 
@@ -14,10 +14,10 @@
     members: interfaces.Members,
     routing: typing.Callable[[], routings.Routing],
 ) -> service.Reservations:
-    """Return the reservations of a node.
+    """Return the reservation service of a node.
 
-    :param kernel: of the process.
-    :param members: the membership.
+    :param kernel: the kernel of the process.
+    :param members: the fleet membership.
     :param routing: returns the current configuration.
     """
     return service.Reservations(
--- a/carawaystair/reservations/answers.py
+++ b/carawaystair/reservations/answers.py
@@ -1,13 +1,13 @@
-"""Stored answers, packed so that each fits one datagram and little memory."""
+"""Packs stored answers to fit one datagram and little memory."""
 
 import zlib
 
-# Bytes of a packed answer at most: an outcome and a vote that repeats it must
-# each fit one datagram, and memory is bounded by this times the keys.
+# An outcome, and a vote that repeats it, must each fit one datagram; memory
+# is bounded by this times the number of keys.
 MAX_PACKED_BYTES = 1024
-# Longer answers are not worth trying.
+# Longer answers are unlikely to compress to the limit; they are not tried.
 MAX_ANSWER_BYTES = 32 * 1024
-# Shorter ones gain little.
+# Compression saves little on shorter answers.
 MIN_COMPRESSED_BYTES = 256
 COMPRESSION_LEVEL = 1
 
@@ -16,7 +16,7 @@
 
 
 def pack(answer: bytes) -> bytes | None:
-    """Return an answer as replicas keep it, or None when it is too large."""
+    """Return an answer as replicas store it; None if it is too large."""
     if len(answer) > MAX_ANSWER_BYTES:
         return None
     packed = PLAIN + answer
@@ -30,7 +30,7 @@
 
 
 def unpack(packed: bytes) -> bytes | None:
-    """Return the answer that :func:`pack` packed, None when it is broken."""
+    """Reverse :func:`pack`; return None if the data is invalid."""
     if packed[:1] == PLAIN:
         return packed[1:]
     unpacker = zlib.decompressobj()
--- a/carawaystair/reservations/messages.py
+++ b/carawaystair/reservations/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the reservations, wire numbers 100 to 119."""
+"""Messages of the reservations, with wire numbers 100 to 119."""
 
 import itertools
 import typing
@@ -6,29 +6,29 @@
 from carawaystair.reservations import placement_table
 from carawaystair import wire
 
-# What a replica says to an ask.
-YES = 1  # it holds the key for the asking token
-HELD = 2  # it holds the key for another token
-SETTLED = 3  # the request ran; here is its answer
-DIGEST_ONLY = 4  # the request ran; its answer was not kept
-REUSED = 5  # the key stands for another request
+# Verdicts of a replica on an ask.
+YES = 1  # the replica holds the key for the asking token
+HELD = 2  # the replica holds the key for another token
+SETTLED = 3  # the request ran; the vote carries its answer
+DIGEST_ONLY = 4  # the request ran; only the digest of its answer is stored
+REUSED = 5  # the key belongs to a request with another digest
 FULL = 6  # no memory left
 CUSTOMER_FULL = 7  # the customer's share of the memory is used up
-NOT_ACTIVE = 8  # no active replica of the partition at the epoch asked for
+NOT_ACTIVE = 8  # no active replica of the partition in the asked epoch
 
-# Placements in one answer at most.
+# Maximum number of placements in one message.
 MAX_ROWS = 128
 
-# What a control host says that could not have a change decided.
+# Answer of a control host that could not get a change committed.
 UNDECIDED = -1
 
-# Why a replica fetches the keys of another one.
-TAKE_OVER = 1  # it is new in an epoch
-RECOVER = 2  # its process started again within an epoch
+# Reasons to fetch the keys of another replica.
+TAKE_OVER = 1  # the fetching replica is new in the epoch
+RECOVER = 2  # its process restarted within the epoch
 
-# How the other one stands.
-NOT_READY = 0  # it doesn't know the keys itself
-SEALED = 1  # it was active in the epoch before and votes there no more
+# States of the replica that keys are fetched from.
+NOT_READY = 0  # it doesn't have the keys itself
+SEALED = 1  # it was active in the previous epoch and no longer votes there
 ACTIVE = 2  # it votes in the epoch
 STALE_SESSION = 3  # it knows a greater session of the asking host
 
@@ -37,13 +37,13 @@
 class Ask(typing.NamedTuple):
     """Asks a replica to hold a key for a token.
 
-    :param partition: of the key.
-    :param epoch: of the placement that the asking node knows.
-    :param name: of the key, see ``names.name``.
-    :param token: of the attempt; the replica's vote is for it alone.
-    :param digest: of the request.
-    :param customer: see ``names.customer``.
-    :param window_s: how long the key must be remembered.
+    :param partition: partition of the key.
+    :param epoch: epoch of the placement that the asking node knows.
+    :param key_digest: see ``identifiers.key_digest``.
+    :param token: token of the attempt; the vote is for this token only.
+    :param request_digest: digest of the request.
+    :param customer_id: see ``identifiers.customer_id``.
+    :param window_s: how long the key must be remembered, seconds.
     """
 
     partition: int
@@ -59,14 +59,15 @@
 class Vote(typing.NamedTuple):
     """A replica's answer to an :class:`Ask`.
 
-    :param token: of the ask.
-    :param epoch: of the placement under which it answers.
+    :param token: token of the ask.
+    :param epoch: epoch of the placement under which the replica answers.
     :param verdict: one of the constants of this module.
-    :param sessions: the newest sessions of the placement's members, in
-        their order, that the replica knows; its own is among them.
-    :param holder: the token that holds the key here.
+    :param sessions: newest known session of each member of the placement,
+        in the order of the members, the replica itself included.
+    :param holder: token that holds the key at the replica.
     :param status: HTTP status of a settled request.
-    :param answer: its answer, or the answer's digest when it was not kept.
+    :param answer: answer of a settled request, or its digest with
+        :data:`DIGEST_ONLY`.
     """
 
     token: bytes
@@ -80,10 +81,10 @@
 
 @wire.register(102)
 class Settle(typing.NamedTuple):
-    """Tells a replica that the request of a token ran, and its answer.
+    """Tells a replica that the request of a token ran, with the answer.
 
-    :param kept: whether ``answer`` is the answer or only its digest.
-    :param age_s: how long ago the token won the key.
+    :param answer_kept: whether ``answer`` is the answer or only its digest.
+    :param age_s: seconds since the token won the key.
     """
 
     partition: int
@@ -98,7 +99,7 @@
 
 @wire.register(103)
 class Release(typing.NamedTuple):
-    """Tells a replica that the request of a token never ran nor will."""
+    """Tells a replica that the request of a token never ran and never will."""
 
     partition: int
     epoch: int
@@ -110,9 +111,9 @@
 class Done(typing.NamedTuple):
     """Acknowledges a :class:`Settle` or :class:`Release`.
 
-    Only a replica that was active when it stored the outcome says so.
+    Sent only by a replica that was active when it stored the outcome.
 
-    :param token: of that message.
+    :param token: token of the acknowledged message.
     """
 
     token: bytes
@@ -120,13 +121,13 @@
 
 @wire.register(105)
 class Fetch(typing.NamedTuple):
-    """Asks for the keys of a partition.
+    """Asks for one page of the keys of a partition.
 
-    :param row: the placement that the asking replica knows.
-    :param host: the asking replica.
-    :param session: its session.
-    :param why: :data:`TAKE_OVER` or :data:`RECOVER`.
-    :param start: of the page.
+    :param placement: placement that the asking replica knows.
+    :param host: host of the asking replica.
+    :param session: session of the asking replica.
+    :param reason: :data:`TAKE_OVER` or :data:`RECOVER`.
+    :param start: index of the first key of the page.
     """
 
     placement: placement_table.Placement
@@ -137,11 +138,11 @@
 
 
 class Entry(typing.NamedTuple):
-    """One key as it travels.
+    """One key of a page.
 
-    :param name: of the key.
-    :param left_s: until its window has passed.
-    :param data: the packed record.
+    :param key_digest: digest of the key.
+    :param remaining_s: seconds until the record expires.
+    :param record: packed record, see ``store.pack``.
     """
 
     key_digest: bytes
@@ -150,7 +151,7 @@
 
 
 class Row(typing.NamedTuple):
-    """A placement whose replicas are numbers of a list beside it."""
+    """A placement whose replicas are indexes into :attr:`Rows.replicas`."""
 
     partition: int
     epoch: int
@@ -161,12 +162,12 @@
 
 @wire.register(108)
 class Rows(typing.NamedTuple):
-    """Placements, in answer to :class:`AskRows` or unasked.
+    """Placements, in answer to :class:`AskRows` or unsolicited.
 
-    :param space: None when the asker has it already.
-    :param replicas: those that the rows refer to.
-    :param rows: the placements.
-    :param more: whether there are more.
+    :param key_space: None if the asking process has the newest one.
+    :param replicas: replicas that the rows refer to.
+    :param rows: placements.
+    :param more: whether further placements follow on another request.
     """
 
     key_space: placement_table.KeySpace | None
@@ -177,14 +178,15 @@
 
 @wire.register(106)
 class Page(typing.NamedTuple):
-    """A part of the keys of a partition.
-
-    :param standing: how the answering replica stands, a constant above.
-    :param session: the asker's session that it knows, with :data:`BEHIND`.
-    :param sessions: hosts and their newest sessions that it knows.
-    :param entries: keys.
-    :param next: start of the next page, 0 at the end.
-    :param rows: newer placements than the asker's.
+    """Answers :class:`Fetch` with a part of the keys of a partition.
+
+    :param state: state of the answering replica, one of the constants above.
+    :param session: newest known session of the asking host; greater than
+        its own with :data:`STALE_SESSION`.
+    :param sessions: hosts with their newest known sessions.
+    :param entries: keys of this page.
+    :param next_start: start of the next page, 0 at the end.
+    :param rows: placements that are newer than the one in the request.
     """
 
     state: int
@@ -197,11 +199,12 @@
 
 @wire.register(107)
 class AskRows(typing.NamedTuple):
-    """Asks control or a peer for newer placements.
+    """Asks a control host for newer placements.
 
-    :param version: of the ledger, as known to the asking process.
-    :param stamp: placements after this stamp ...
-    :param partition: ... and, with the same stamp, after this partition.
+    :param key_space_version: version of the key space that the asking
+        process knows.
+    :param after_version: return placements with a greater version ...
+    :param after_partition: ... or the same version and a greater partition.
     """
 
     key_space_version: int
@@ -211,7 +214,7 @@
 
 @wire.register(113)
 class AskPeerRows(typing.NamedTuple):
-    """The same question to a node, while control does not answer."""
+    """Asks another node the same while no control host answers."""
 
     key_space_version: int
     after_version: int
@@ -220,9 +223,9 @@
 
 @wire.register(109)
 class Propose(typing.NamedTuple):
-    """Proposes a change of the ledger to a control host.
+    """Proposes a change of the placement state to a control host.
 
-    :param data: see ``ledger.encode``.
+    :param change: see ``placement_state.encode``.
     """
 
     change: bytes
@@ -232,7 +235,7 @@
 class Proposed(typing.NamedTuple):
     """Answers :class:`Propose`.
 
-    :param applied: how many parts of the change were applied, or
+    :param applied: number of parts of the change that were applied, or
         :data:`UNDECIDED`.
     """
 
@@ -241,9 +244,9 @@
 
 @wire.register(111)
 class Probe(typing.NamedTuple):
-    """Asks a host which partitions it holds, before it is chosen.
+    """Asks a host for its session and its active partitions.
 
-    :param partitions: those of interest.
+    :param partitions: partitions of interest.
     """
 
     partitions: tuple[int, ...]
@@ -253,9 +256,9 @@
 class Probed(typing.NamedTuple):
     """Answers :class:`Probe`.
 
-    :param replica: the host with its present session.
-    :param active: partitions that it is active in, with their epochs.
-    :param used: share of its memory for keys that is used.
+    :param replica: the host with its current session.
+    :param active_epochs: partitions that it is active in, with their epochs.
+    :param memory_used: used share of its memory for keys.
     """
 
     replica: placement_table.Replica
@@ -268,7 +271,7 @@
     key_space: placement_table.KeySpace | None = None,
     more: bool = False,
 ) -> Rows:
-    """Return placements with each replica written once."""
+    """Return a message with placements, each replica listed once."""
     chains = (
         itertools.chain(p.members, p.previous_members) for p in placements
     )
@@ -292,7 +295,7 @@
     ask: AskRows | AskPeerRows,
     limit: int = MAX_ROWS,
 ) -> Rows:
-    """Return what a book has that is newer than the asker's."""
+    """Return the placements that are newer than those of the asker."""
     found = table.newer_than(ask.after_version, ask.after_partition, limit + 1)
     newer = table.key_space.version > ask.key_space_version
     key_space = table.key_space if newer else None
@@ -300,7 +303,7 @@
 
 
 def unpack_rows(message: Rows) -> list[placement_table.Placement]:
-    """Return the placements of :func:`pack`; broken rows are left out."""
+    """Reverse :func:`pack_rows`; leave out rows with invalid indexes."""
     replicas = message.replicas
     return [
         placement_table.Placement(
--- a/carawaystair/reservations/placement_table.py
+++ b/carawaystair/reservations/placement_table.py
@@ -1,27 +1,27 @@
-"""Which replicas hold the keys of a partition."""
+"""Placements: which replicas hold the keys of each partition."""
 
 import itertools
 import typing
 
 from carawaystair.reservations import identifiers
 
-# Replicas of a partition: one in each data centre, this many at most, and
-# this many where there are fewer data centres but enough hosts.
+# A partition has one replica in each data centre, up to the maximum; with
+# fewer data centres but enough hosts it still has the minimum.
 MAX_REPLICAS = 5
 MIN_REPLICAS = 3
-# The ledger refuses placements with more.
+# Control hosts refuse placements with more members.
 MAX_MEMBERS = 7
 
 
 class Replica(typing.NamedTuple):
     """One replica of a partition.
 
-    :param host: its host, unique in the fleet.
+    :param host: host name, unique in the fleet.
     :param peer: ``ip:port`` for messages.
     :param gossip: ``ip:port`` for datagrams.
-    :param data_centre: where it stands.
-    :param session: names one run of its process; a process that starts
-        again has another one, normally a greater one.
+    :param data_centre: data centre of the host.
+    :param session: identifies one run of the process; a restarted process
+        has another one, normally a greater one.
     """
 
     host: str
@@ -34,13 +34,14 @@
 class Placement(typing.NamedTuple):
     """The replicas of one partition during one epoch.
 
-    :param partition: the partition.
+    :param partition: number of the partition.
     :param epoch: grows by one with every change of the members.
-    :param stamp: version of the ledger that last touched this placement.
-    :param members: the replicas, each with the session that it had when
-        this epoch was decided.
-    :param previous: the members of the epoch before, until enough members
-        have taken over from them.
+    :param version: version of the placement state that last changed this
+        placement.
+    :param members: replicas, each with its session at the time when this
+        epoch was decided.
+    :param previous_members: members of the previous epoch, until enough
+        members have taken over from them.
     """
 
     partition: int
@@ -51,7 +52,7 @@
 
     @property
     def quorum(self) -> int:
-        """Return how many members are a majority."""
+        """Number of members that form a majority."""
         return quorum(len(self.members))
 
     def member(self, host: str) -> Replica | None:
@@ -59,42 +60,42 @@
         return next((m for m in self.members if m.host == host), None)
 
     def member_at(self, address: str) -> Replica | None:
-        """Return the member that sends datagrams from an address."""
+        """Return the member whose datagram address is ``address``."""
         return next((m for m in self.members if m.gossip == address), None)
 
     def was_member(self, host: str) -> bool:
-        """Tell whether a host was a member in the epoch before."""
+        """Return whether a host was a member in the previous epoch."""
         return any(m.host == host for m in self.previous_members)
 
 
 def quorum(size: int) -> int:
-    """Return how many of ``size`` replicas are a majority."""
+    """Return how many of ``size`` replicas form a majority."""
     return size // 2 + 1
 
 
 def quorum_overlap(size: int) -> int:
-    """Return how many of ``size`` replicas meet every majority of them.
+    """Return how many of ``size`` replicas intersect every majority.
 
-    So many must be heard to know of every grant, and so many that vote no
-    more keep every further grant from being made.
+    This many replicas together know of every grant, and no further grant is
+    possible once this many no longer vote.
     """
     return size - quorum(size) + 1
 
 
 def region_index(partition: int) -> int:
-    """Return the place of the region that holds a partition."""
+    """Return the index of the region that holds a partition."""
     return partition // identifiers.PARTITIONS
 
 
 class KeySpace(typing.NamedTuple):
-    """What holds for all partitions.
-
-    :param version: of the ledger.
-    :param window_s: no key is remembered for longer.
-    :param regions: the regions that hold keys; the place of a region here
-        times ``names.PARTITIONS`` is its first partition.
-    :param key_regions: the region, by its place, that holds the keys of each
-        service.
+    """State that is common to all partitions.
+
+    :param version: version of the placement state.
+    :param window_s: longest window of any key, seconds.
+    :param regions: regions that hold keys; the index of a region times
+        ``identifiers.PARTITIONS`` is its first partition.
+    :param key_regions: services, each with the index of the region that
+        holds its keys.
     """
 
     version: int = 0
@@ -104,10 +105,10 @@
 
 
 class PlacementTable:
-    """The placements as one process knows them.
+    """The placements that one process knows.
 
-    It may be old.  That is safe: a replica votes only for an ask that names
-    the replica's own epoch.
+    They may be outdated.  That is safe, since a replica votes only for an
+    ask with the replica's own epoch.
     """
 
     def __init__(self) -> None:
@@ -117,24 +118,30 @@
         self.listeners: list[typing.Callable[[Placement], None]] = []
 
     def get(self, partition: int) -> Placement | None:
-        """Return the placement of a partition, if it is known."""
+        """Return the placement of a partition, or None if unknown."""
         return self.by_partition.get(partition)
 
     def partition(self, service: str, key: bytes) -> int | None:
-        """Return the partition of a service's key, if it has a home."""
+        """Return the partition of a key of a service.
+
+        :return: None while no region is assigned to the service.
+        """
         region = self.key_regions.get(service)
         if region is None:
             return None
         return region * identifiers.PARTITIONS + identifiers.key_partition(key)
 
     def update_key_space(self, key_space: KeySpace) -> None:
-        """Take what holds for all partitions, if it is newer."""
+        """Replace the key space if ``key_space`` is newer."""
         if key_space.version > self.key_space.version:
             self.key_space = key_space
             self.key_regions = dict(key_space.key_regions)
 
     def update(self, placements: typing.Iterable[Placement]) -> int:
-        """Take placements that are newer than the known ones."""
+        """Store the placements that are newer than the known ones.
+
+        :return: how many were stored.
+        """
         newer = [p for p in placements if self._is_newer(p)]
         for placement in newer:
             self.by_partition[placement.partition] = placement
@@ -149,7 +156,7 @@
     def newer_than(
         self, version: int, partition: int, limit: int
     ) -> list[Placement]:
-        """Return placements in the order of stamp and partition."""
+        """Return placements after a version and partition, in that order."""
         later = sorted(
             (placement.version, placement.partition)
             for placement in self.by_partition.values()
--- a/carawaystair/reservations/windows.py
+++ b/carawaystair/reservations/windows.py
@@ -1,29 +1,34 @@
-"""How long a key is remembered, and what clocks may do meanwhile.
+"""How long replicas retain keys and abstain after a restart.
 
-Every replica measures with its own monotonic clock, from the moment it
-voted.  Nothing compares times of two machines.  Clocks differ in rate only,
-by less than :data:`DRIFT`.
+Every replica measures with its own monotonic clock, starting when it votes.
+Times of two machines are never compared, so only the difference in clock
+rate matters; it is assumed to be less than :data:`MAX_CLOCK_DRIFT`.
 """
 
 # Added to every window: the caller's window begins before the replica's vote
-# (an attempt takes up to ``owner.ATTEMPT_S``), and the request goes out after
-# it.
+# (an attempt takes up to ``coordinator.ATTEMPT_TIMEOUT_S``), and the request
+# is sent after it.
 MARGIN_S = 60.0
-# Rate difference of two clocks that is allowed for, as a share of the window.
-# Crystals are within 0.0002 and time daemons slew by at most 0.0005.
+# Tolerated rate difference of two clocks, as a fraction.  Crystal oscillators
+# are accurate to 0.0002 and time daemons slew by at most 0.0005.
 MAX_CLOCK_DRIFT = 0.001
 
 
 def retention_s(window_s: float) -> float:
-    """Return how long a replica keeps a key with this window."""
+    """Return how long a replica retains a key.
+
+    :param window_s: window of the key, seconds.
+    """
     return window_s * (1 + MAX_CLOCK_DRIFT) + MARGIN_S
 
 
 def abstention_s(window_s: float) -> float:
-    """Return how long a replica that forgot everything must not vote.
+    """Return how long a replica must not vote after losing its records.
+
+    Every vote that it may have cast before the restart has expired by then.
+    The time exceeds the longest retention by the drift and one margin,
+    because its clock may run faster than that of a coordinator with a grant.
 
-    After that nothing counts any more that it may have voted for before it
-    started again.  One margin more than the longest keep: its clock may run
-    faster than that of the owner of a grant.
+    :param window_s: longest window of any service, seconds.
     """
     return retention_s(window_s) * (1 + MAX_CLOCK_DRIFT) + MARGIN_S
