--- a/carawaystair/reservations/coordinator.py
+++ b/carawaystair/reservations/coordinator.py
@@ -1,7 +1,7 @@
-"""The asking side: wins a majority of the replicas for a token.
+"""Coordinates reservations: wins a majority of the replicas for a token.
 
-The process that wins owns the token.  It alone may say that the request of
-the token ran (settle) or never will (release).
+Only the process that was granted the key for its token may report that the
+request ran (settle) or never will (release).
 """
 
 import asyncio
@@ -21,27 +21,27 @@
 from carawaystair.reservations import vote_round as vote_rounds
 from carawaystair.reservations import windows
 
-# Replicas left out at first are asked after so long, and those that did not
-# answer again; doubled each time up to the second figure.
+# After this time all replicas without a vote are asked, again if they were
+# asked before; doubled each time up to the maximum.
 RESEND_S = 0.05
 RESEND_MAX_S = 0.5
-# A replica that did not answer is asked last for so long.
+# A replica that did not answer is asked last for this long.
 SILENT_PENALTY_S = 5.0
-# Timers may fire a little early; a wait is never shorter than this, so that
-# the last one before a deadline is not made over and over.
+# Timers may fire slightly early; without a minimum the last wait before a
+# deadline would be repeated many times.
 MIN_WAIT_S = 0.001
-# An attempt gives up after so long, whatever the caller's deadline: a grant
-# must not come long after the votes behind it, see ``windows.MARGIN_S``.
+# Limit of an attempt, even if the caller's deadline is later: a grant must not
+# follow long after the votes that it rests on, see ``windows.MARGIN_S``.
 ATTEMPT_TIMEOUT_S = 10.0
-# Rivals that share the replicas give their votes back and try again after a
-# random time below this and below what the attempt took, whichever is more,
-# doubled each time up to the second figure.
+# After a split vote the competing tokens are released, and each coordinator
+# retries after a random time.  The bound of that time starts at the larger of
+# this value and the duration of the attempt, and doubles up to the maximum.
 BACKOFF_S = 0.005
 BACKOFF_MAX_S = 2.0
-# A rival that is seen in so many attempts one after another is no racer that
-# gives back its votes: it runs, or its process is gone.
+# A rival that leads in this many consecutive attempts does not release its
+# votes: its request is running, or its process is gone.
 SAME_RIVAL_LIMIT = 4
-# The callers of settle and release wait this long at most.
+# Maximum wait of the callers of settle and release.
 OUTCOME_WAIT_S = 1.0
 
 Result = expression.Result[interfaces.Reserved, codes.Failure]
@@ -54,13 +54,13 @@
 
 
 class KeyRequest(typing.NamedTuple):
-    """What a caller wants reserved.
+    """A request to reserve a key.
 
-    :param partition: of the key.
-    :param name: of the key.
-    :param customer: see ``names.customer``.
-    :param digest: of the request.
-    :param window_s: how long the key must be remembered.
+    :param partition: partition of the key.
+    :param key_digest: see ``identifiers.key_digest``.
+    :param customer_id: see ``identifiers.customer_id``.
+    :param request_digest: digest of the request.
+    :param window_s: how long the key must be remembered, seconds.
     """
 
     partition: int
@@ -70,7 +70,7 @@
     window_s: float
 
     def to_ask(self, token: bytes, epoch: int) -> messages.Ask:
-        """Return the question for a token."""
+        """Return the message that asks for a token."""
         return messages.Ask(
             self.partition,
             epoch,
@@ -83,11 +83,11 @@
 
 
 class Grant(typing.NamedTuple):
-    """A token that won, until its outcome is known.
+    """A token that holds its key, until the outcome of the request is known.
 
-    :param ask: what it won.
-    :param since: monotonic time of the grant.
-    :param holders: see ``ballot.Verdict``.
+    :param ask: the ask that was granted.
+    :param granted_at: monotonic time of the grant.
+    :param holders: see ``vote_round.RoundResult``.
     """
 
     ask: messages.Ask
@@ -96,13 +96,13 @@
 
 
 class Coordinator:
-    """The reservations that one process asks for.
+    """Reserves keys on behalf of the requests of one process.
 
     :param send: sends a datagram.
-    :param book: the placements.
-    :param tokens: makes tokens.
-    :param rng: for backoff.
-    :param refresh: called when the book must be old.
+    :param table: known placements.
+    :param tokens: generates tokens.
+    :param rng: random source for backoff.
+    :param refresh: called when the known placements may be outdated.
     """
 
     def __init__(
@@ -127,10 +127,10 @@
     # Reserving
 
     async def reserve(self, request: KeyRequest, deadline: float) -> Result:
-        """Win a key, or say what stands against it.
+        """Reserve a key, or return why that is not possible.
 
-        A token that did not win is released, and never counts as granted
-        afterwards, whatever votes for it still arrive.
+        A token that was not granted is released and is never treated as
+        granted later, even if further votes for it arrive.
         """
         deadline = min(deadline, clock.now() + ATTEMPT_TIMEOUT_S)
         backoff = BACKOFF_S
@@ -156,7 +156,7 @@
     async def _request_grant(
         self, request: KeyRequest, token: bytes, deadline: float
     ) -> vote_rounds.RoundResult:
-        """Collect votes for one token, over changes of the placement."""
+        """Collect votes for one token, across changes of the placement."""
         result = vote_rounds.RoundResult(placement_changed=True)
         ask = request.to_ask(token, 0)
         holders = None
@@ -168,15 +168,15 @@
                 asked_before = ask.epoch > 0
                 ask = request.to_ask(token, placement.epoch)
                 result = await self._run_round(ask, placement, deadline)
-                # Votes of the epoch before may have been taken over by any.
+                # Any replica may have taken over votes of an earlier epoch.
                 holders = None if asked_before else result.holders
             if result.granted:
                 grant = Grant(ask, clock.now(), holders)
                 self.grants[token.hex()] = grant
             return result
         finally:
-            # Also when the caller went away: a vote that is not given back
-            # would keep the key from everyone until its window ends.
+            # Also when the caller was cancelled: a vote that is not released
+            # would block the key until its window ends.
             if token.hex() not in self.grants:
                 self.outcome_sender.start(_release_message(ask), holders)
 
@@ -186,7 +186,7 @@
         placement: placement_table.Placement,
         deadline: float,
     ) -> vote_rounds.RoundResult:
-        """Ask until the votes decide or time is up."""
+        """Ask until the votes decide or the deadline has passed."""
         vote_round = vote_rounds.VoteRound(
             ask, placement, self.send, self.silent_until
         )
@@ -196,11 +196,11 @@
             while clock.now() < deadline:
                 remaining = max(deadline - clock.now(), MIN_WAIT_S)
                 timeout = min(wait, remaining)
-                done, _not = await asyncio.wait(
+                done, _pending = await asyncio.wait(
                     {vote_round.future}, timeout=timeout
                 )
-                # A process that stood still may find the votes long after
-                # its time was up; they don't count then.
+                # A suspended process may read the votes long after the
+                # deadline; they don't count then.
                 if done and clock.now() <= deadline:
                     result = vote_round.future.result()
                     return result._replace(holders=vote_round.holders())
@@ -212,13 +212,13 @@
             del self.rounds[ask.token]
 
     def on_vote(self, sender: str, message: messages.Vote) -> None:
-        """Take a replica's vote."""
+        """Handle the vote of a replica."""
         vote_round = self.rounds.get(message.token)
         if vote_round is not None:
             vote_round.add_vote(sender, message)
 
     def _mark_silent(self, hosts: list[str]) -> None:
-        """Ask silent replicas last for a while, and look for newer ones."""
+        """Ask silent hosts last for a while; look for newer placements."""
         now = clock.now()
         self.silent_until |= dict.fromkeys(hosts, now + SILENT_PENALTY_S)
         self.silent_until = {
@@ -227,16 +227,16 @@
         self.refresh()
 
     def _on_placement(self, placement: placement_table.Placement) -> None:
-        """Begin the attempts on a partition anew in its new epoch."""
+        """Cancel the rounds of a partition that has a new epoch."""
         for vote_round in self.rounds.values():
-            mine = vote_round.ask.partition == placement.partition
-            if mine and vote_round.ask.epoch != placement.epoch:
+            affected = vote_round.ask.partition == placement.partition
+            if affected and vote_round.ask.epoch != placement.epoch:
                 vote_round.cancel_for_new_epoch()
 
     # Outcomes
 
     async def settle(self, token: str, answer: bytes, status: int) -> None:
-        """Store the outcome of a run at the replicas."""
+        """Store the outcome of a request at the replicas."""
         grant = self.grants.pop(token, None)
         if grant is None:
             return
@@ -258,7 +258,7 @@
         )
 
     async def release(self, token: str) -> None:
-        """Give a key back whose request was provably not run."""
+        """Release the key of a request that provably did not run."""
         grant = self.grants.pop(token, None)
         if grant is not None:
             await _wait_for_majority(
@@ -266,7 +266,7 @@
             )
 
     def expire(self) -> None:
-        """Forget grants whose keys no replica remembers any more."""
+        """Remove grants whose keys have expired at the replicas."""
         now = clock.now()
         self.grants = {
             token: grant
@@ -289,7 +289,7 @@
 
 
 def _to_reserved(result: vote_rounds.RoundResult) -> Result:
-    """Return what a caller is told of an attempt that did not win."""
+    """Return the answer to the caller of an attempt that was not granted."""
     vote = result.vote
     if result.split:
         return expression.Ok(interfaces.Reserved(False, running=True))
--- a/carawaystair/reservations/outcomes.py
+++ b/carawaystair/reservations/outcomes.py
@@ -1,4 +1,4 @@
-"""Tells replicas how the request of a token ended, until they know."""
+"""Sends the outcome of a request to the replicas until they acknowledge it."""
 
 import asyncio
 import typing
@@ -7,25 +7,26 @@
 from carawaystair.reservations import messages
 from carawaystair.reservations import placement_table
 
-# An outcome that nobody acknowledged is sent again after so long; doubled
-# each time up to the second figure.
+# Time without an acknowledgement after which an outcome is sent again;
+# doubled each time up to the maximum.
 RESEND_S = 0.05
 RESEND_MAX_S = 5.0
-# After so long a replica that was not reached is given up; the key is then
-# unknown there until its window ends.
+# A replica that was not reached for this long gets no outcome; the key
+# stays held there until its window ends.
 GIVE_UP_S = 60.0
-# Outcomes under way at once; beyond that each is sent once only.
+# Maximum number of unacknowledged outcomes; beyond it an outcome is sent only
+# once.
 MAX_PENDING = 10_000
 
 
 class PendingOutcome(typing.NamedTuple):
-    """One outcome under way.
+    """An outcome that is not acknowledged by all replicas yet.
 
-    :param epoch: of the placement under which the token asked.
+    :param epoch: epoch of the placement in which the token was asked for.
     :param holders: addresses of the replicas that need it; None for all.
-    :param addresses: of the replicas that have acknowledged it.
-    :param majority: set when these are a majority.
-    :param changed: set with every acknowledgement.
+    :param acknowledged: addresses of the replicas that acknowledged it.
+    :param majority_reached: set when a majority has acknowledged it.
+    :param new_acknowledgement: set with every acknowledgement.
     """
 
     epoch: int
@@ -36,10 +37,10 @@
 
 
 class OutcomeSender:
-    """The outcomes that one process spreads.
+    """Sends the outcomes of the requests of one process.
 
     :param send: sends a datagram.
-    :param book: the placements.
+    :param table: known placements.
     """
 
     def __init__(
@@ -56,11 +57,11 @@
     def start(
         self, message, holders: frozenset[str] | None = None
     ) -> asyncio.Event:
-        """Spread a ``Settle`` or ``Release``.
+        """Send a ``Settle`` or ``Release`` until it is acknowledged.
 
         :param holders: addresses of the replicas that may hold the key for
             the token; None for all.
-        :return: an event that is set once a majority has it.
+        :return: an event that is set when a majority has acknowledged it.
         """
         pending = PendingOutcome(
             message.epoch, holders, set(), asyncio.Event(), asyncio.Event()
@@ -82,14 +83,14 @@
         return pending.majority_reached
 
     def acknowledge(self, sender: str, message: messages.Done) -> None:
-        """Take a replica's word that it has an outcome."""
+        """Handle the acknowledgement of a replica."""
         pending = self.pending.get(message.token)
         if pending is not None:
             pending.acknowledged.add(sender)
             pending.new_acknowledgement.set()
 
     def stop(self) -> None:
-        """Give up whatever is under way."""
+        """Stop sending all outcomes."""
         for task in self.tasks:
             task.cancel()
 
@@ -122,7 +123,7 @@
         return reached == required
 
     def _send(self, message, pending: PendingOutcome) -> None:
-        """Send to the replicas of the newest epoch that lack it."""
+        """Send to the replicas of the newest epoch without acknowledgement."""
         placement = self.placement_table.get(message.partition)
         if placement is None:
             return
@@ -138,8 +139,8 @@
 ) -> frozenset[str]:
     """Return the addresses of the replicas that need an outcome.
 
-    In a later epoch that is everyone: who took over from whom is not known
-    here.
+    In a later epoch that is every member: which replica took over from which
+    is not known here.
     """
     members = frozenset(member.gossip for member in placement.members)
     if pending.holders is None or placement.epoch != pending.epoch:
@@ -148,7 +149,7 @@
 
 
 async def _wait_for(event: asyncio.Event, timeout: float) -> bool:
-    """Wait for an event; tell whether it came in time."""
+    """Wait for an event; return False on a time-out."""
     try:
         return await asyncio.wait_for(event.wait(), timeout)
     except asyncio.TimeoutError:
--- a/carawaystair/reservations/partition_replica.py
+++ b/carawaystair/reservations/partition_replica.py
@@ -1,20 +1,20 @@
-"""One partition at one replica."""
+"""The replica of one partition: its state, records and known sessions."""
 
 from carawaystair.reservations import placement_table
 from carawaystair.reservations import store
 
-# How a replica stands in the epoch of its placement.
-WAITING = 'waiting'  # it doesn't know what was granted, and doesn't vote
-SEALED = 'sealed'  # it was active in the epoch before and votes no more
-ACTIVE = 'active'  # it votes
+# States of a replica in the epoch of its placement.
+WAITING = 'waiting'  # lacks records of earlier grants and doesn't vote
+SEALED = 'sealed'  # was active in the previous epoch and no longer votes
+ACTIVE = 'active'  # votes
 
 
 class PartitionReplica:
-    """The state of one partition at one replica.
+    """The replica of one partition.
 
-    :param row: the newest placement known.
-    :param session: of this process.
-    :param budget: the memory of this node.
+    :param placement: newest known placement.
+    :param session: session of this process.
+    :param budget: memory budget of this node.
     """
 
     def __init__(
@@ -24,8 +24,8 @@
         budget: store.MemoryBudget,
     ) -> None:
         self.placement = placement
-        # Normally that of the process; greater where a process before it had
-        # a greater one because the wall clock was set back.
+        # Normally the session of the process; greater if an earlier process
+        # had a greater one because the wall clock was set back.
         self.session = session
         self.state = WAITING
         self.store = store.RecordStore(budget)
@@ -33,27 +33,26 @@
         self._update_sessions(placement)
 
     def on_placement(self, placement: placement_table.Placement) -> None:
-        """Take a newer placement."""
+        """Apply a newer placement."""
         step = placement.epoch - self.placement.epoch
         self.placement = placement
         if not step:
             return
-        # Symptom without sealing: a key is granted twice around a change.
-        # Sequence: the old members grant it after the new ones have fetched
-        # the keys.  Cause: both vote.  So an old member votes no more once
-        # it knows of the new epoch, and the new ones wait for that.
+        # An old member stops voting once it knows of the new epoch, and the
+        # new members wait for that.  Otherwise both would vote, and the old
+        # members could grant a key after the new ones have fetched the keys.
         if step == 1 and self.state == ACTIVE:
             self.state = SEALED
         else:
-            # What it knows is of no epoch that the new one follows.
+            # The records are not those of the immediately preceding epoch.
             self.state = WAITING
             self.store.clear()
         self._update_sessions(placement)
 
     def member_sessions(self, host: str) -> tuple[int, ...]:
-        """Return the newest session known of each member, in order.
+        """Return the newest known session of each member, in order.
 
-        :param host: of this replica.
+        :param host: host of this replica.
         """
         return tuple(
             self.session
@@ -63,10 +62,10 @@
         )
 
     def record_session(self, host: str, session: int) -> int:
-        """Take note that a member started again.
+        """Record the session of a member that restarted.
 
-        :return: the newest session known, greater than ``session`` when
-            that is an old one.
+        :return: the newest known session, greater than ``session`` if that
+            one is outdated.
         """
         self.known_sessions[host] = max(
             self.known_sessions.get(host, 0), session
--- a/carawaystair/reservations/replica_server.py
+++ b/carawaystair/reservations/replica_server.py
@@ -1,8 +1,8 @@
-"""The replica's side: holds keys for the tokens that asked first.
+"""The replicas of one process: votes on asks and stores outcomes.
 
-A replica votes for one token of a key at a time.  It takes its vote back
-only when the owner of the token says that the request will never run, or
-when the window has passed.  Two tokens can therefore not both hold a majority
+A replica votes for one token of a key at a time.  It withdraws its vote only
+when the coordinator of the token reports that the request will never run, or
+when the window has passed.  Therefore two tokens cannot both have a majority
 of the same replicas.
 """
 
@@ -17,8 +17,8 @@
 from carawaystair.reservations import store
 from carawaystair.reservations import windows
 
-# A token that was released is remembered so long, so that an ask of it that
-# arrives late does not lodge a vote that nobody would ever take back.
+# A released token is remembered for this long: an ask for it that arrives late
+# would otherwise get a vote that is never withdrawn.
 TOMBSTONE_RETENTION_S = 60.0
 MAX_TOMBSTONES = 10_000
 
@@ -33,14 +33,14 @@
 
 
 class ReplicaServer:
-    """All partitions that one process holds.
+    """The partition replicas of one process.
 
-    :param host: of this process.
-    :param session: of this process.
-    :param book: the placements.
-    :param budget: the memory for records.
+    :param host: host of this process.
+    :param session: session of this process.
+    :param table: known placements.
+    :param budget: memory budget of the records.
     :param send: sends a datagram.
-    :param refresh: called when the book must be old.
+    :param refresh: called when the known placements may be outdated.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         table.listeners.append(self.on_placement)
 
     def on_placement(self, placement: placement_table.Placement) -> None:
-        """Take a newer placement of a partition."""
+        """Add, update or remove the replica of a partition."""
         replica = self.partitions.get(placement.partition)
         is_member = placement.member(self.host) or placement.was_member(
             self.host
@@ -83,7 +83,7 @@
     # Voting
 
     def on_ask(self, sender: str, message: messages.Ask) -> None:
-        """Vote for the asking token, or say what stands against it."""
+        """Vote on an ask."""
         replica = self._active_replica(sender, message)
         if replica is None:
             self.send(
@@ -111,7 +111,10 @@
     def _active_replica(
         self, sender: str, message
     ) -> partition_replicas.PartitionReplica | None:
-        """Return the seat that may vote under the epoch of a message."""
+        """Return the replica that may vote in the epoch of a message.
+
+        A sender with an outdated placement gets the newer one.
+        """
         placement = self.placement_table.get(message.partition)
         if placement is None or placement.epoch < message.epoch:
             self.refresh()
@@ -126,12 +129,12 @@
         return replica if active else None
 
     def _refusal(self, message: messages.Ask) -> int:
-        """Return why no record can be made, or 0."""
+        """Return the verdict if no record can be created, otherwise 0."""
         if message.token in self.tombstones:
             return messages.NOT_ACTIVE
         if message.window_s > self.placement_table.key_space.window_s:
-            # A restarted replica abstains for the longest window that is
-            # agreed; a vote for a longer one would outlive that.
+            # A restarted replica abstains for the agreed longest window; a
+            # vote with a longer window could still count after that.
             self.refresh()
             return messages.NOT_ACTIVE
         if self.budget.is_full(store.RECORD_BYTES):
@@ -165,7 +168,7 @@
     # Outcomes
 
     def on_settle(self, sender: str, message: messages.Settle) -> None:
-        """Store the outcome, if the key is still held for this token."""
+        """Store the outcome if the key is still held for this token."""
         replica = self.partitions.get(message.partition)
         record = replica and replica.store.get(message.key_digest, clock.now())
         if record is not None and record.token == message.token:
@@ -174,27 +177,27 @@
                     message.key_digest, self._settled_record(record, message)
                 )
         elif record is not None:
-            # A settle that comes late must not touch a newer grant.
+            # A late settle must not change the record of a newer grant.
             self._assert_single_run(record, message)
         self._acknowledge(sender, message)
 
     def on_release(self, sender: str, message: messages.Release) -> None:
-        """Take the vote back, if the key is still held for this token."""
+        """Withdraw the vote if the key is still held for this token."""
         now = clock.now()
         self._add_tombstone(message.token, now)
         replica = self.partitions.get(message.partition)
         record = replica and replica.store.get(message.key_digest, now)
-        # As with settle: only the record of this very token.
+        # A late release must not remove the record of a newer grant.
         holds_key = record is not None and record.token == message.token
         if holds_key and record.state == store.HELD:
             replica.store.drop(message.key_digest)
         self._acknowledge(sender, message)
 
     def _acknowledge(self, sender: str, message) -> None:
-        """Acknowledge an outcome, but only as an active replica.
+        """Acknowledge an outcome if the replica is active.
 
-        One that still fetches may get the key afterwards, as it was before
-        the outcome; the owner must send it again.
+        A replica that still fetches keys may get the record as it was before
+        the outcome; the coordinator must then send the outcome again.
         """
         if self._active_replica(sender, message) is not None:
             self.send(sender, messages.Done(message.token))
@@ -221,10 +224,10 @@
     def _assert_single_run(
         self, record: store.Record, message: messages.Settle
     ) -> None:
-        """Assert that no two tokens of a key ran within its window."""
+        """Check that no two tokens of a key ran within its window."""
         ran = record.state in (store.SETTLED, store.DIGEST_ONLY)
-        # Beyond the window, but within the margin, the key may be granted
-        # again while a replica still remembers the earlier run.
+        # After the window, but within the margin, the key may be granted
+        # again while a replica still has the record of the earlier run.
         within = record.expires - clock.now() > windows.MARGIN_S
         recent = message.age_s < windows.MARGIN_S
         invariants.check(
@@ -238,10 +241,10 @@
             del self.tombstones[next(iter(self.tombstones))]
         self.tombstones[token] = now
 
-    # Housekeeping
+    # Expiry
 
     def expire(self) -> None:
-        """Forget what the window allows to forget."""
+        """Remove expired records and tombstones."""
         now = clock.now()
         for replica in self.partitions.values():
             replica.store.expire(now)
@@ -253,7 +256,10 @@
         }
 
     def active_epochs(self, partitions: typing.Iterable[int]) -> tuple:
-        """Return which of some partitions are active here, with epochs."""
+        """Return the partitions that are active here, with their epochs.
+
+        :param partitions: partitions of interest.
+        """
         replicas = (self.partitions.get(partition) for partition in partitions)
         return tuple(
             (replica.placement.partition, replica.placement.epoch)
@@ -275,7 +281,10 @@
 def _existing_record_verdict(
     record: store.Record, message: messages.Ask
 ) -> tuple[int, store.Record | None]:
-    """Return the verdict on an ask for a key that has a record."""
+    """Return the verdict on an ask for a key with a record.
+
+    :return: the verdict, and the record if the vote reports it.
+    """
     if (
         record.state != store.BLOCKED
         and record.request_digest != message.request_digest
--- a/carawaystair/reservations/store.py
+++ b/carawaystair/reservations/store.py
@@ -1,8 +1,8 @@
-"""The keys that a replica holds in memory, bounded and for a window.
+"""In-memory records of keys, with a memory budget and expiry.
 
-A record is one packed byte string and expires through a wheel of buckets, so
-that a key costs few bytes: at the size to design for a node holds tens of
-thousands of them.
+A record is one packed byte string and expires by means of a timing wheel, so
+that a key takes few bytes: in a fleet of the intended size a node holds tens
+of thousands of keys.
 """
 
 import collections
@@ -10,21 +10,20 @@
 import typing
 
 # States of a record.
-HELD = 1  # voted for a token whose end is not known
-SETTLED = 2  # the request ran; the answer is kept
-DIGEST_ONLY = 3  # the request ran; status and digest of the answer are kept
-BLOCKED = 4  # two tokens were found when keys were fetched: no vote for any
-
-# Bytes that a record costs beside its answer, measured by
-# ``bench/exp_reservations.py``: the name, the packed head, their places in
-# the table and the wheel.
+HELD = 1  # voted for a token; the outcome of its request is not known
+SETTLED = 2  # the request ran; the answer is stored
+DIGEST_ONLY = 3  # the request ran; status and digest of the answer are stored
+BLOCKED = 4  # two tokens were found when keys were fetched: no votes
+
+# Memory of a record without its answer: the key digest, the packed header and
+# their entries in the dictionary and the wheel.
 RECORD_BYTES = 256
-# A customer may hold this share of the memory, so that one customer's keys
-# can't keep the others from reserving.
+# Maximum share of the memory per customer, so that the keys of one customer
+# cannot prevent others from reserving.
 CUSTOMER_SHARE = 0.75
 BUCKET_S = 16.0
-# The wheel may hold so many names more than the table before it is made
-# anew: a key that is reserved and released over and over leaves one each
+# Number of entries beyond twice the number of records at which the wheel is
+# rebuilt: a key that is repeatedly reserved and released leaves an entry each
 # time.
 WHEEL_SLACK = 1000
 
@@ -32,15 +31,15 @@
 
 
 class Record(typing.NamedTuple):
-    """What a replica knows of one key.
+    """The record of one key at a replica.
 
-    :param token: holds the key; empty when :data:`BLOCKED`.
-    :param digest: of the request, 16 bytes.
-    :param customer: see ``names.customer``.
-    :param expires: monotonic time until which it must be kept.
+    :param token: token that holds the key; empty if :data:`BLOCKED`.
+    :param request_digest: digest of the request, 16 bytes.
+    :param customer_id: see ``identifiers.customer_id``.
+    :param expires: monotonic time until which the record must be kept.
     :param state: one of the states of this module.
     :param status: HTTP status of the answer.
-    :param answer: the answer, or its digest when :data:`LARGE`.
+    :param answer: the answer, or its digest if :data:`DIGEST_ONLY`.
     """
 
     token: bytes
@@ -58,18 +57,18 @@
 
 
 def unpack(data: bytes) -> Record:
-    """Return the record that :func:`pack` packed.
+    """Reverse :func:`pack`.
 
-    :raises struct.error: when the data is too short.
+    :raises struct.error: if the data is too short.
     """
     return Record(*_HEADER.unpack_from(data), data[_HEADER.size :])
 
 
 class MemoryBudget:
-    """The memory that all partitions of one node share.
+    """Memory budget that all partitions of one node share.
 
-    :param capacity: bytes for records at most.
-    :param share: of it that one customer may hold.
+    :param capacity: maximum number of bytes of all records.
+    :param share: maximum share of the capacity per customer.
     """
 
     def __init__(self, capacity: int, share: float = CUSTOMER_SHARE) -> None:
@@ -79,16 +78,16 @@
         self.used_by_customer: collections.Counter = collections.Counter()
 
     def is_full(self, size: int) -> bool:
-        """Tell whether ``size`` more bytes are too many."""
+        """Return whether ``size`` more bytes exceed the capacity."""
         return self.used + size > self.capacity
 
     def exceeds_share(self, customer_id: int, size: int) -> bool:
-        """Tell whether ``size`` more bytes exceed a customer's share."""
+        """Return whether ``size`` more bytes exceed a customer's share."""
         limit = self.capacity * self.share
         return self.used_by_customer[customer_id] + size > limit
 
     def account(self, customer_id: int, size: int) -> None:
-        """Account for ``size`` bytes, or give them back when negative."""
+        """Add ``size`` bytes to the used memory, or free them if negative."""
         self.used += size
         self.used_by_customer[customer_id] += size
         if not self.used_by_customer[customer_id]:
@@ -98,7 +97,7 @@
 class RecordStore:
     """The records of one partition.
 
-    :param budget: shared with the node's other partitions.
+    :param budget: memory budget, shared with the other partitions.
     """
 
     def __init__(self, budget: MemoryBudget) -> None:
@@ -108,7 +107,7 @@
         self.wheel_entries = 0
 
     def get(self, key_digest: bytes, now: float) -> Record | None:
-        """Return the record of a key, unless its window has passed."""
+        """Return the record of a key, or None if missing or expired."""
         data = self.records.get(key_digest)
         if data is None:
             return None
@@ -116,7 +115,7 @@
         return record if record.expires > now else None
 
     def put(self, key_digest: bytes, record: Record) -> None:
-        """Store a record in place of what was there."""
+        """Store or replace the record of a key."""
         old_data = self.records.get(key_digest)
         expires = None
         if old_data is not None:
@@ -129,13 +128,13 @@
             self._schedule_expiry(key_digest, record.expires)
 
     def drop(self, key_digest: bytes) -> None:
-        """Forget a key; its place in the wheel is cleared in time."""
+        """Remove a record; its wheel entry is removed when it is due."""
         data = self.records.pop(key_digest, None)
         if data is not None:
             self._account(unpack(data), -1)
 
     def expire(self, now: float) -> int:
-        """Forget the keys whose window has passed; return how many."""
+        """Remove the expired records; return how many."""
         due_buckets = [
             bucket for bucket in self.wheel if bucket * BUCKET_S <= now
         ]
@@ -156,7 +155,7 @@
         return len(expired)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all records."""
         for key_digest in list(self.records):
             self.drop(key_digest)
         self.wheel.clear()
@@ -165,8 +164,8 @@
     def _schedule_expiry(self, key_digest: bytes, expires: float) -> None:
         if self.wheel_entries > 2 * len(self.records) + WHEEL_SLACK:
             self._rebuild_wheel()
-        # Rounded up: a record never goes before its time, and the buckets
-        # are looked at when their end has passed.
+        # Rounded up to the end of the bucket, so that no record is removed
+        # early.
         bucket = int(expires // BUCKET_S) + 1
         self.wheel.setdefault(bucket, []).append(key_digest)
         self.wheel_entries += 1
--- a/carawaystair/reservations/vote_round.py
+++ b/carawaystair/reservations/vote_round.py
@@ -1,8 +1,9 @@
-"""Collects the votes of one attempt to win a key.
+"""Collects the votes of the replicas on one ask.
 
-Only as many replicas are asked at first as a majority needs, and for one key
-always the same ones: so a key costs the memory of a majority and not of all.
-The rest is asked when one of those does not answer soon, or says no.
+At first only as many replicas are asked as form a majority, and always the
+same ones for a key, so that a key takes memory at a majority of the replicas
+instead of all.  The others are asked when one of the first does not answer
+in time or votes against the token.
 """
 
 import asyncio
@@ -14,15 +15,17 @@
 
 
 class RoundResult(typing.NamedTuple):
-    """What an attempt came to.
-
-    :param granted: a majority holds the key for this token.
-    :param vote: a vote that settles the matter otherwise.
-    :param split: rivals share the replicas and none is known to have won.
-    :param rival: the token that most replicas hold the key for.
-    :param moved: the placement changed; the same token asks anew.
+    """Result of a vote round.
+
+    :param granted: whether a majority holds the key for this token.
+    :param vote: the vote that decides against the token, if any.
+    :param split: whether the votes are split between tokens and none of
+        them is known to have a majority.
+    :param rival: the other token with the most votes.
+    :param placement_changed: whether the placement changed; the same token
+        is then asked for in a new round.
     :param holders: addresses of replicas that may hold the key for this
-        token; None when any may.
+        token; None if any replica may.
     """
 
     granted: bool = False
@@ -34,12 +37,12 @@
 
 
 class VoteRound:
-    """One attempt that collects votes.
+    """Sends one ask to the members of a placement and counts the votes.
 
-    :param ask: what to ask.
-    :param row: whom.
+    :param ask: message to send.
+    :param placement: placement of the partition.
     :param send: sends a datagram.
-    :param silent: hosts that did not answer lately; they are asked last.
+    :param silent: hosts that recently did not answer; they are asked last.
     """
 
     def __init__(
@@ -64,7 +67,7 @@
             send(member.gossip, ask)
 
     def ask_remaining(self) -> None:
-        """Ask the replicas that were left out at first."""
+        """Ask the replicas that have not been asked yet."""
         if self.asked_all:
             return
         self.asked_all = True
@@ -73,7 +76,10 @@
                 self.send(member.gossip, self.ask)
 
     def resend(self) -> list[str]:
-        """Ask all that have not voted; return hosts that were silent."""
+        """Ask all replicas that have not voted.
+
+        :return: hosts that were asked first and have not voted.
+        """
         silent = [m.host for m in self.first_asked if m.host not in self.votes]
         self.asked_all = True
         for member in self.placement.members:
@@ -84,8 +90,8 @@
     def holders(self) -> frozenset[str]:
         """Return addresses of replicas that may hold the key for the token.
 
-        One that said that another token holds the key is among them: a
-        second copy of the ask may reach it when it has given that one up.
+        A replica that holds the key for another token is included: a second
+        copy of the ask may reach it after that token was released.
         """
         asked = self.placement.members if self.asked_all else self.first_asked
         refused = {
@@ -96,16 +102,16 @@
         return frozenset(m.gossip for m in asked if m.host not in refused)
 
     def cancel_for_new_epoch(self) -> None:
-        """End the attempt because the placement changed."""
+        """End the round because the placement changed."""
         self._finish(RoundResult(placement_changed=True))
 
     def add_vote(self, sender: str, vote: messages.Vote) -> None:
-        """Take a vote and end the attempt when it decides."""
+        """Count a vote; end the round if it is decisive."""
         member = self.placement.member_at(sender)
         if vote.epoch != self.ask.epoch or member is None:
             return
         if vote.verdict == messages.NOT_ACTIVE:
-            # It may be active soon; it is asked again.
+            # Not counted: the replica may soon be active and is asked again.
             self.ask_remaining()
             return
         self.votes[member.host] = vote
@@ -121,14 +127,14 @@
             self.future.set_result(result)
 
     def _discard_void_votes(self) -> None:
-        """Forget votes of replicas that have started again since.
-
-        Symptom without it: two tokens hold a majority.  Sequence: a replica
-        votes for the first token, starts again, recovers from others that
-        the first token has not reached yet, and votes for the second one;
-        then the others vote for the first.  Cause: the first token counts a
-        vote that its replica has forgotten.  The others know of the new
-        session when they vote, and say so.
+        """Discard votes that replicas cast before they restarted.
+
+        Otherwise two tokens can get a majority: a replica votes for the
+        first token, restarts, recovers from others that the first ask has
+        not reached yet, and votes for the second token; then the others vote
+        for the first, which would still count the vote that its replica has
+        lost.  The others know the new session when they vote, and every vote
+        lists the known sessions.
         """
         hosts = [member.host for member in self.placement.members]
         newest = [
@@ -147,7 +153,7 @@
         return [v for v in self.votes.values() if len(v.sessions) == size]
 
     def evaluate(self) -> RoundResult | None:
-        """Return what the votes come to; None when more are needed."""
+        """Return the result of the votes, or None if more are needed."""
         votes = list(self.votes.values())
         decisive = next((v for v in votes if v.verdict in _DECISIVE), None)
         if decisive is not None:
@@ -161,7 +167,7 @@
         return self._no_majority(votes)
 
     def _no_majority(self, votes: list[messages.Vote]) -> RoundResult:
-        """Return the verdict when no majority can be had any more."""
+        """Return the result when a majority is no longer possible."""
         held = [v for v in votes if v.verdict == messages.HELD]
         if not held:
             return RoundResult(vote=next(iter(_memory_refusals(votes))))
@@ -172,7 +178,7 @@
         return RoundResult(split=True, rival=rival)
 
     def timed_out(self) -> RoundResult:
-        """Return the verdict when time is up."""
+        """Return the result when the deadline has passed."""
         votes = list(self.votes.values())
         held = [v for v in votes if v.verdict == messages.HELD]
         return RoundResult(
@@ -185,7 +191,11 @@
     placement: placement_table.Placement,
     silent: typing.Container[str],
 ) -> list[placement_table.Replica]:
-    """Return the replicas to ask first, the same ones at every node."""
+    """Return the replicas to ask first.
+
+    The order depends on the key, so that all nodes ask the same replicas;
+    silent ones come last.
+    """
     start = key_digest[-1] % len(placement.members)
     rotated = placement.members[start:] + placement.members[:start]
     rotated = sorted(rotated, key=lambda member: member.host in silent)
