--- a/carawaystair/reservations/activation.py
+++ b/carawaystair/reservations/activation.py
@@ -1,12 +1,17 @@
-"""How a replica comes to vote in an epoch.
+"""Activates replicas, which may vote in an epoch from then on.
 
-Three ways lead there.  A replica of the first epoch begins empty, since no
-key was ever granted before.  One that is new in a later epoch takes over the
-keys of the epoch before, from so many of its members that every grant is
-among them and none can be added.  One whose process started again recovers
-from so many others of its epoch that every grant that counted its lost vote
-is among them (Michael et al., Recovering Shared Objects Without Stable
-Storage, DISC 2017).  Where too many are gone for that, the window must pass.
+A replica is activated in one of three ways:
+
+- In the first epoch it starts empty, since no key was granted before.
+- If it is new in a later epoch, it takes over the keys of the previous epoch,
+  from so many of its members that they know every grant and no further grant
+  is possible there.
+- If its process restarted within an epoch, it recovers the keys from so many
+  other members that they know every grant that counted its lost vote (Michael
+  et al., Recovering Shared Objects Without Stable Storage, DISC 2017).
+
+If too few other members are available, it starts empty when the window has
+passed.
 """
 
 import asyncio
@@ -26,12 +31,12 @@
 from carawaystair import timeline as timelines
 
 PAGE_TIMEOUT_S = 1.0
-# Pause before a failed attempt is made again, doubled up to the second one.
+# Pause after a failed attempt, doubled each time up to the maximum.
 RETRY_S = 0.2
 RETRY_MAX_S = 5.0
-# Partitions that are fetched at once.
+# Maximum number of partitions that are fetched at the same time.
 MAX_CONCURRENT_FETCHES = 8
-# How partitions became active, for the time line.
+# Ways in which partitions became active, counted in the time line.
 STARTED_EMPTY = 'began empty'
 WINDOW_PASSED = 'window passed'
 TAKEN_OVER = 'taken over'
@@ -47,13 +52,14 @@
 
 
 class Activator:
-    """Makes the seats of one process active.
+    """Activates the partition replicas of one process.
 
-    :param replica: the seats.
-    :param transfers: says whether the window has passed since the start.
-    :param call: asks a peer.
-    :param timeline: takes note of active partitions.
-    :param rng: for the order of sources and pauses.
+    :param replica_server: partition replicas of the process.
+    :param transfer_server: tells whether the window has passed since the
+        start of the process.
+    :param call: sends a request to a peer and returns the answer.
+    :param timeline: records active partitions.
+    :param rng: random source for the order of sources and for pauses.
     """
 
     def __init__(
@@ -75,12 +81,12 @@
         replica_server.placement_table.listeners.append(self._on_placement)
 
     def stop(self) -> None:
-        """End all attempts."""
+        """Cancel all activations."""
         for task in self.running.values():
             task.cancel()
 
     def _on_placement(self, placement: placement_table.Placement) -> None:
-        """Begin to activate the seat of a new placement."""
+        """Start to activate the replica of a new placement."""
         replica = self.replica_server.partitions.get(placement.partition)
         inactive = (
             replica is not None and replica.state != partition_replicas.ACTIVE
@@ -94,7 +100,7 @@
         self.running[placement.partition] = task
 
     async def _run(self, partition: int) -> None:
-        """Try until the seat is active or gone."""
+        """Retry until the replica is active or removed."""
         pause = RETRY_S
         try:
             while self._needs_activation(partition):
@@ -120,11 +126,11 @@
     def _never_voted(
         self, replica: partition_replicas.PartitionReplica
     ) -> bool:
-        """Tell whether this process can't have voted in this epoch before.
+        """Return whether no earlier run has valid votes in this epoch.
 
-        The epoch was decided when this very run of the process was known,
-        so that no earlier run of it can have been active in the epoch; or
-        whatever an earlier run voted for is void by now.
+        Either the placement lists the session of this run, so that no
+        earlier run can have been active in the epoch, or all votes of
+        earlier runs have expired.
         """
         me = replica.placement.member(self.replica_server.host)
         listed = me is not None and me.session == self.replica_server.session
@@ -133,7 +139,7 @@
     def _can_start_empty(
         self, replica: partition_replicas.PartitionReplica
     ) -> bool:
-        """Tell whether a seat may begin without any keys."""
+        """Return whether a replica may become active without any keys."""
         if replica.placement.member(self.replica_server.host) is None:
             return False
         if (
@@ -161,7 +167,7 @@
     async def _take_over(
         self, replica: partition_replicas.PartitionReplica
     ) -> bool:
-        """Fetch from the epoch before, or from one that has done so."""
+        """Fetch from members of the previous epoch or from an active one."""
         placement = replica.placement
         host = self.replica_server.host
         sealed = (
@@ -181,7 +187,7 @@
                 break
             state = await self._fetch(replica, source, messages.TAKE_OVER)
             if state == messages.ACTIVE:
-                # It holds all that the epoch before granted.
+                # An active member has all grants of the previous epoch.
                 return self._activate_if_current(
                     replica, placement, TAKEN_OVER
                 )
@@ -195,7 +201,7 @@
     async def _recover(
         self, replica: partition_replicas.PartitionReplica
     ) -> bool:
-        """Fetch from others of this epoch after a restart."""
+        """Fetch from other members of this epoch after a restart."""
         placement = replica.placement
         fetched = 0
         required = placement_table.quorum_overlap(len(placement.members))
@@ -225,7 +231,7 @@
         source: placement_table.Replica,
         reason: int,
     ) -> int:
-        """Fetch all keys of one source; return how it stands."""
+        """Fetch all keys of one source; return the state of the source."""
         placement = replica.placement
         start = 0
         while True:
@@ -237,7 +243,7 @@
                 start,
             )
             result = await self.call(source.peer, ask, PAGE_TIMEOUT_S)
-            # The world may have changed while this task waited.
+            # The placement may have changed during the call.
             if result.is_error() or replica.placement is not placement:
                 return messages.NOT_READY
             page: messages.Page = result.ok
@@ -280,10 +286,10 @@
         self.activated[KEYS] += len(replica.store.records)
 
     def report(self) -> None:
-        """Record what became active since the last report, in one event.
+        """Record the activations since the last report in one event.
 
-        A node of a small fleet holds hundreds of partitions; an event for
-        each would push everything else off the time line.
+        A node of a small fleet holds hundreds of partitions; one event for
+        each would displace all other events from the time line.
         """
         if not self.activated:
             return
--- a/carawaystair/reservations/manifest_sync.py
+++ b/carawaystair/reservations/manifest_sync.py
@@ -1,4 +1,4 @@
-"""What the ledger must know of the manifest: homes and the longest window."""
+"""Changes of the placement state that follow from the manifest."""
 
 import itertools
 import typing
@@ -13,18 +13,18 @@
 
 
 class ManifestSync:
-    """Compares the manifest with the ledger."""
+    """Compares the manifest with the agreed key space."""
 
     def __init__(self) -> None:
-        # Services that are no longer in the manifest, and since when.
+        # Services no longer in the manifest, with the time since when.
         self.removed_since: dict[str, float] = {}
-        # Since when the longest window is shorter than the agreed one.
+        # Time since when the longest window is below the agreed one.
         self.shorter_since: float | None = None
 
     def due_changes(
         self, routing: routings.Routing, key_space: placement_table.KeySpace
     ) -> typing.Iterator:
-        """Yield the changes that are due."""
+        """Yield the changes to propose."""
         services = routing.services()
         window = max(routing.service(n).key_window_s for n in services)
         yield from self._window_changes(float(window), key_space.window_s)
@@ -32,11 +32,11 @@
             yield from self._service_changes(routing, key_space)
 
     def _window_changes(self, wanted: float, agreed: float) -> typing.Iterator:
-        """Raise the agreed window at once, lower it late.
+        """Raise the agreed window at once, lower it after a delay.
 
-        A replica that starts again abstains for the agreed window.  While
-        keys of the longer window are still remembered, a shorter one would
-        let it vote too early.
+        A restarted replica abstains for the agreed window.  It would vote too
+        early if the agreed window were lowered while keys with the longer
+        window are still remembered.
         """
         if wanted >= agreed:
             self.shorter_since = None
@@ -53,7 +53,7 @@
     def _service_changes(
         self, routing: routings.Routing, key_space: placement_table.KeySpace
     ) -> typing.Iterator[placement_state.AssignServices]:
-        """Give new services a home, forget it after the service is gone."""
+        """Assign regions to new services; drop those of removed services."""
         services = set(routing.services())
         known = {service for service, _region in key_space.key_regions}
         now = clock.now()
@@ -88,7 +88,7 @@
 def unassigned_services(
     routing: routings.Routing, key_space: placement_table.KeySpace
 ) -> tuple[tuple[str, str], ...]:
-    """Return the services that have no home, with the one they get."""
+    """Return the services without a region, with the one to assign."""
     known = {service for service, _region in key_space.key_regions}
     missing = sorted(set(routing.services()) - known)
     if not key_space.regions:
@@ -102,6 +102,6 @@
 def _region_for(
     routing: routings.Routing, service: str, regions: tuple[str, ...]
 ) -> str:
-    """Return the region that is to hold a service's keys."""
+    """Return the region that will hold the keys of a service."""
     wanted = routing.service(service).key_region
     return wanted if wanted in regions else regions[0]
--- a/carawaystair/reservations/placement_policy.py
+++ b/carawaystair/reservations/placement_policy.py
@@ -1,4 +1,4 @@
-"""Chooses replicas: which change of a partition's members is due, if any."""
+"""Chooses the replicas of partitions and the changes that are due."""
 
 import collections
 import heapq
@@ -10,16 +10,16 @@
 from carawaystair.reservations import identifiers
 from carawaystair.reservations import placement_table
 
-# A replica holds so many times the mean number of partitions before one is
-# moved away from it.
+# A partition is moved away from a host that holds more than this many times
+# the mean number of partitions.
 MAX_LOAD_RATIO = 1.25
 
 
 def replica_count(data_centres: int, hosts: int) -> int:
-    """Return how many replicas a partition gets.
+    """Return the number of replicas of a partition.
 
-    :param data_centres: data centres with a host.
-    :param hosts: hosts in them.
+    :param data_centres: number of data centres with a host.
+    :param hosts: number of hosts in them.
     """
     wanted = min(
         max(data_centres, placement_table.MIN_REPLICAS),
@@ -38,8 +38,9 @@
 class HostPool:
     """The hosts of one region that may hold keys, with their loads.
 
-    :param hosts: the hosts.
-    :param rows: the region's placements, whose members count as load.
+    :param hosts: hosts that may hold keys.
+    :param placements: placements of the region; the load of a host is the
+        number of placements with it.
     """
 
     def __init__(
@@ -61,19 +62,23 @@
 
     @property
     def replica_count(self) -> int:
-        """Return how many replicas a partition gets here."""
+        """Number of replicas of a partition in this region."""
         return replica_count(len(self.heaps), len(self.hosts))
 
     @property
     def max_load(self) -> int:
-        """Return how many partitions a host should hold at most."""
+        """Maximum number of partitions that a host should hold."""
         total = sum(self.load[name] for name in self.hosts)
         return math.ceil(MAX_LOAD_RATIO * total / max(len(self.hosts), 1)) + 1
 
     def take_least_loaded(
         self, data_centre: str, excluded: typing.Container[str]
     ) -> Host | None:
-        """Take the host of a data centre with the least load, if any."""
+        """Return the least loaded host of a data centre and count the load.
+
+        :param excluded: hosts not to choose.
+        :return: None if there is no other host.
+        """
         heap = self.heaps.get(data_centre, [])
         skipped = []
         found = None
@@ -96,16 +101,16 @@
         excluded: typing.Container[str],
         used_data_centres: list[str],
     ) -> Host | None:
-        """Take a host, from a data centre that holds fewest replicas.
+        """Return a host of a data centre with the fewest replicas.
 
-        :param without: hosts not to take.
-        :param held: data centres of the replicas that there are.
+        :param excluded: hosts not to choose.
+        :param used_data_centres: data centres of the existing replicas.
         """
         ranked = sorted(
             self.heaps,
-            key=lambda dc: (
-                used_data_centres.count(dc),
-                -rendezvous.score('reservations/%d' % partition, dc),
+            key=lambda data_centre: (
+                used_data_centres.count(data_centre),
+                -rendezvous.score('reservations/%d' % partition, data_centre),
             ),
         )
         found = (
@@ -116,7 +121,7 @@
 
 
 def initial_hosts(pool: HostPool) -> list[list[Host]]:
-    """Return the first replicas of all partitions of a region."""
+    """Return the first hosts of each partition of a region."""
     return [
         _initial_hosts_of(pool, partition)
         for partition in range(identifiers.PARTITIONS)
@@ -133,10 +138,10 @@
 
 
 class ReplicaChange(typing.NamedTuple):
-    """One replica goes, one comes, or both.
+    """The removal of a replica, the addition of one, or both.
 
-    :param out: the host that goes, or empty.
-    :param host: the one that comes, or None.
+    :param removed: host to remove, or empty.
+    :param added: host to add, or None.
     """
 
     removed: str
@@ -148,12 +153,12 @@
     pool: HostPool,
     dead: typing.Container[str],
 ) -> ReplicaChange | None:
-    """Return the change of a partition's members that is due.
+    """Return the next due change of the members of a partition.
 
-    One at a time: dead replicas first, then the number of them, then their
+    Dead replicas have priority, then the number of replicas, then their
     spread over data centres, then the balance of loads.
 
-    :param dead: hosts that don't count any more.
+    :param dead: hosts to replace.
     """
     hosts = [member.host for member in placement.members]
     dead_hosts = [host for host in hosts if host in dead]
@@ -178,7 +183,7 @@
 
 
 def _most_redundant(placement: placement_table.Placement) -> str:
-    """Return a replica of the data centre that holds most of them."""
+    """Return the host of a replica in the data centre with the most."""
     used_data_centres = collections.Counter(
         m.data_centre for m in placement.members
     )
@@ -193,33 +198,33 @@
     pool: HostPool,
     used_data_centres: list[str],
 ) -> ReplicaChange | None:
-    """Move a replica to a data centre that holds none."""
+    """Return the move of a replica to a data centre without one."""
     if len(set(used_data_centres)) == len(used_data_centres):
         return None
     hosts = [member.host for member in placement.members]
-    free = [
+    unused = [
         data_centre
         for data_centre in pool.heaps
         if data_centre not in used_data_centres
     ]
-    takes = (
+    candidates = (
         pool.take_least_loaded(data_centre, hosts)
-        for data_centre in sorted(free)
+        for data_centre in sorted(unused)
     )
-    added = next((host for host in takes if host is not None), None)
+    added = next((host for host in candidates if host is not None), None)
     return ReplicaChange(_most_redundant(placement), added) if added else None
 
 
 def _improve_balance(
     placement: placement_table.Placement, pool: HostPool
 ) -> ReplicaChange | None:
-    """Move a replica from a host that holds too many partitions."""
+    """Return the move of a replica from a host with too many partitions."""
     max_load = pool.max_load
     for member in placement.members:
         if pool.load[member.host] <= max_load:
             continue
         heap = pool.heaps.get(member.data_centre)
-        # Two less, or the partition would be moved to and fro.
+        # With a difference below two the partition would move back and forth.
         if not heap or heap[0][0] + 2 > pool.load[member.host]:
             continue
         hosts = [other.host for other in placement.members]
@@ -237,9 +242,9 @@
 ) -> placement_table.Placement | None:
     """Return the placement that a change makes.
 
-    :param sessions: the hosts that answered, with their present sessions.
-        A member that didn't is listed as before; the one that comes must
-        have answered.
+    :param replicas: the hosts that answered, with their current sessions.
+        A member that did not answer keeps its listed session.
+    :return: None if the added host did not answer or no member remains.
     """
     members = [
         replicas.get(member.host, member)
--- a/carawaystair/reservations/placement_server.py
+++ b/carawaystair/reservations/placement_server.py
@@ -1,4 +1,4 @@
-"""The control side: keeps the agreed placements and hands them out."""
+"""Serves the agreed placements and proposals on a control host."""
 
 import typing
 
@@ -12,23 +12,23 @@
 
 
 class Group(typing.Protocol):
-    """What a keeper needs of the control group."""
+    """The control group as the placement server uses it."""
 
     placement_state: placement_states.PlacementState
 
     async def propose(
         self, entry: bytes
     ) -> expression.Result[bytes, codes.Failure]:
-        """Have an entry applied on every control host."""
+        """Apply an entry on every control host."""
 
 
 class PlacementServer(mode.Service):
-    """Answers nodes on one control host.
+    """Answers requests of nodes on one control host.
 
-    A control host that was cut off hands out old placements; nothing relies
-    on their being new.
+    A partitioned control host may return outdated placements; nodes don't
+    rely on their being current.
 
-    :param transport: messages to other processes.
+    :param transport: receives messages of other processes.
     :param group: the control group.
     """
 
@@ -58,5 +58,5 @@
 
 
 def make(kernel, group: Group) -> PlacementServer:
-    """Return the keeper of a control host."""
+    """Return the placement server of a control host."""
     return PlacementServer(kernel.links, group)
--- a/carawaystair/reservations/placement_state.py
+++ b/carawaystair/reservations/placement_state.py
@@ -1,9 +1,8 @@
 """The agreed placements: a deterministic state machine.
 
-It is applied on the control hosts, behind their replicated log.  Whoever
-proposes a change, wrongly or twice, can't break what replicas rely on: each
-change names the epoch it starts from, exchanges one replica at most, and is
-refused while a handover is under way.
+The control hosts apply it to their replicated log.  Wrong or repeated
+proposals are harmless: a change of members names its epoch, exchanges at most
+one replica, and is refused during a handover.
 """
 
 import typing
@@ -15,10 +14,10 @@
 from carawaystair.reservations import placement_table
 from carawaystair import rows
 
-# Begins the entries of this machine, see ``control.parts``.
+# Prefix of the log entries of this state machine, see ``control.parts``.
 PREFIX = 'r'
 
-# Kinds of changes.
+# Kinds of changes, as encoded.
 ADD_REGION = 1
 CHANGE_MEMBERS = 2
 FINISH_HANDOVERS = 3
@@ -27,10 +26,11 @@
 
 
 class AddRegion(typing.NamedTuple):
-    """Lets a region hold keys, with the first replicas of its partitions.
+    """Adds a region that holds keys, with the replicas of its partitions.
 
-    :param region: its name.
-    :param rows: ``names.PARTITIONS`` placements; only their members count.
+    :param region: name of the region.
+    :param rows: ``identifiers.PARTITIONS`` placements, of which only the
+        members are used.
     """
 
     region: str
@@ -38,30 +38,30 @@
 
 
 class ChangeMembers(typing.NamedTuple):
-    """Gives partitions new members.
+    """Changes the members of partitions, which starts handovers.
 
-    :param rows: each with the epoch that it makes.
+    :param rows: placements, each with its new epoch.
     """
 
     rows: messages.Rows
 
 
 class FinishHandovers(typing.NamedTuple):
-    """Ends handovers: enough members of these epochs are active.
+    """Ends handovers, after a majority of the new members became active.
 
-    :param epochs: partitions and their epochs.
+    :param epochs: partitions with their epochs.
     """
 
     epochs: tuple[tuple[int, int], ...]
 
 
 class AssignServices(typing.NamedTuple):
-    """Says which region holds the keys of services, and of which no more.
+    """Assigns regions to the keys of services and drops services.
 
-    A service keeps its home: another one would not know its keys.
+    A service keeps its region, since another one would not know its keys.
 
-    :param add: services and their regions.
-    :param drop: services that are gone for longer than a window.
+    :param add: services with their regions.
+    :param drop: services that were removed for longer than a window.
     """
 
     add: tuple[tuple[str, str], ...] = ()
@@ -69,9 +69,9 @@
 
 
 class SetMaxWindow(typing.NamedTuple):
-    """Sets how long any key may be remembered.
+    """Sets the longest time that any key may be remembered.
 
-    :param seconds: the longest window of any service.
+    :param seconds: longest window of any service.
     """
 
     seconds: float
@@ -91,19 +91,19 @@
 
 
 class Snapshot(typing.NamedTuple):
-    """The whole state, as a snapshot holds it."""
+    """The state as stored in a snapshot."""
 
     key_space: placement_table.KeySpace
     rows: messages.Rows
 
 
 def encode(change) -> bytes:
-    """Return the bytes of a change."""
+    """Return an encoded change."""
     return bytes((_NUMBERS[type(change)],)) + msgspec.msgpack.encode(change)
 
 
 class PlacementState:
-    """The state machine."""
+    """State machine of the placements."""
 
     def __init__(self) -> None:
         self.placement_table = placement_table.PlacementTable()
@@ -111,8 +111,8 @@
     def apply(self, _version: rows.Version, data: bytes) -> bytes:
         """Apply an encoded change, see ``control.machine``.
 
-        :return: how many of its parts were applied, as text; 0 for one that
-            can't be read, which every control host then passes over alike.
+        :return: number of parts of the change that were applied, as text; 0
+            if it can't be decoded, which every control host then ignores.
         """
         try:
             change = _DECODERS[data[0]].decode(data[1:])
@@ -121,7 +121,7 @@
         return b'%d' % self._apply(change)
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         placements = messages.pack_rows(
             list(self.placement_table.by_partition.values())
         )
@@ -130,7 +130,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Put the state of a snapshot in place of this one."""
+        """Replace the state by that of a snapshot."""
         state = msgspec.msgpack.decode(data, type=Snapshot)
         self.placement_table = placement_table.PlacementTable()
         self.placement_table.update_key_space(state.key_space)
@@ -248,7 +248,7 @@
     current: placement_table.Placement,
     members: typing.Sequence[placement_table.Replica],
 ) -> bool:
-    """Tell whether at most one replica goes and at most one comes."""
+    """Return whether at most one host is removed and at most one added."""
     old = {member.host for member in current.members}
     new = {member.host for member in members}
     return len(old - new) <= 1 and len(new - old) <= 1 and old != new
--- a/carawaystair/reservations/placement_updates.py
+++ b/carawaystair/reservations/placement_updates.py
@@ -1,4 +1,4 @@
-"""Keeps a process's book of placements new."""
+"""Keeps the placements that a process knows up to date."""
 
 import asyncio
 import random
@@ -12,12 +12,12 @@
 from carawaystair.reservations import messages
 from carawaystair.reservations import placement_table
 
-# How often a process asks for newer placements; an old book costs a round
-# trip, never safety.
+# Interval of requests for newer placements; outdated ones cost a round trip
+# but are safe.
 POLL_INTERVAL_S = 30.0
-# The same while it knows none at all.
+# Interval while no placements are known.
 INITIAL_POLL_INTERVAL_S = 0.3
-# Between two questions that something else called for, at least.
+# Minimum interval when refreshes are requested.
 MIN_POLL_INTERVAL_S = 0.25
 CALL_TIMEOUT_S = 1.0
 
@@ -28,13 +28,13 @@
 
 
 class PlacementUpdater:
-    """Asks control for newer placements, and peers while control is away.
+    """Asks control hosts for newer placements, or a peer if none answers.
 
-    :param book: takes them.
-    :param call: asks a process.
-    :param members: the membership.
+    :param table: placements to update.
+    :param call: sends a request to a process and returns the answer.
+    :param members: the fleet membership.
     :param control_hosts: addresses of the control hosts.
-    :param rng: picks whom to ask.
+    :param rng: random source for the choice of processes.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
         self.control_hosts = tuple(control_hosts)
         self.rng = rng
         self.refresh_requested = asyncio.Event()
-        # Up to here nothing is missing, as far as control said.
+        # All placements up to here are known, according to control hosts.
         self.synced_version = 0
         self.synced_partition = -1
 
     def request_refresh(self) -> None:
-        """Ask soon: the book must be old."""
+        """Ask soon, because the known placements may be outdated."""
         self.refresh_requested.set()
 
     async def run(self) -> None:
-        """Ask now and then, and when told to."""
+        """Ask at intervals and on request."""
         while True:
             started = clock.now()
             await self.refresh()
@@ -77,7 +77,7 @@
             )
 
     async def refresh(self) -> bool:
-        """Ask once; tell whether a control host answered."""
+        """Ask once; return whether a control host answered."""
         hosts = list(self.control_hosts)
         self.rng.shuffle(hosts)
         for host in hosts:
@@ -109,8 +109,8 @@
                 return True
 
     async def _ask_peer(self, peer: str) -> None:
-        # A peer may lack placements older than its newest ones, so that its
-        # answer doesn't say up to where nothing is missing.
+        # A peer may lack placements older than its newest ones, so its answer
+        # must not advance ``synced_version``.
         synced_version, synced_partition = (
             self.synced_version,
             self.synced_partition,
@@ -139,7 +139,7 @@
 def apply_rows(
     table: placement_table.PlacementTable, message: messages.Rows
 ) -> None:
-    """Take placements out of a message."""
+    """Store the placements of a message."""
     if message.key_space is not None:
         table.update_key_space(message.key_space)
     table.update(messages.unpack_rows(message))
--- a/carawaystair/reservations/planner.py
+++ b/carawaystair/reservations/planner.py
@@ -1,9 +1,9 @@
-"""Proposes placements, on one node of the fleet.
+"""Proposes placements, on the elected node of the fleet.
 
-The node with the highest rendezvous weight does it.  Two nodes may both
-believe to be that one, and what they believe of others may be wrong: then
-changes are refused by the ledger or cost a needless handover, and no grant
-is lost.
+The node with the highest rendezvous weight is elected.  Two nodes may both
+consider themselves elected, and their view of the membership may be wrong.
+Then the control hosts refuse a change, or it causes a needless handover; no
+grant is lost.
 """
 
 import asyncio
@@ -28,21 +28,21 @@
 from carawaystair import timeline as timelines
 
 INTERVAL_S = 1.0
-# The same while no region holds keys.
+# Interval while no region holds keys.
 INITIAL_INTERVAL_S = 0.25
-# A region's first placements wait until its members have stayed the same for
-# so long, since each later change of them is a handover.
+# The first placements of a region are proposed when the membership has not
+# changed for this long, since each later change requires a handover.
 MEMBERS_STABLE_S = 2.0
-# With a member in every data centre of the manifest they wait so long only.
+# Same, if there is a member in every data centre of the manifest.
 ALL_DATA_CENTRES_STABLE_S = 0.25
-# A host that is away is replaced after so long: an ordinary restart takes
-# less, and costs a recovery in place.
+# An absent host is replaced after this long: an ordinary restart takes less,
+# and then only needs a recovery in place.
 REPLACE_AFTER_S = 60.0
-# Partitions under handover at once.
+# Maximum number of partitions in handover.
 MAX_HANDOVERS = 128
 PROBE_TIMEOUT_S = 1.0
 PROPOSE_TIMEOUT_S = 5.0
-# Probes under way at once.
+# Maximum number of probes in flight.
 MAX_CONCURRENT_PROBES = 32
 
 LOG = logs.get('reservations')
@@ -55,14 +55,14 @@
 
 
 class Planner:
-    """Proposes placements while this node is the one to do so.
+    """Proposes placements while this node is elected.
 
-    :param members: the membership.
+    :param members: the fleet membership.
     :param routing: returns the current configuration.
-    :param follows: keeps the book of placements new.
-    :param call: asks a process.
+    :param updater: keeps the known placements up to date.
+    :param call: sends a request to a process and returns the answer.
     :param send: sends a message to a process.
-    :param timeline: takes note of changes.
+    :param timeline: records changes.
     """
 
     def __init__(
@@ -85,14 +85,14 @@
         self.manifest_sync = manifest_sync.ManifestSync()
         self.alive_members: tuple[interfaces.Member, ...] = ()
         self.nodes: dict[str, interfaces.Member] = {}
-        self.is_planner = False
+        self.is_elected = False
         self.assignment_requested = False
         self.members_since = 0.0
-        # Hosts of placements that are away, and since when.
+        # Absent hosts of placements, with the time since when.
         self.away_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Plan for as long as the process lives."""
+        """Plan at intervals."""
         while True:
             regions_exist = bool(self.placement_table.key_space.key_regions)
             await asyncio.sleep(
@@ -100,24 +100,26 @@
             )
             try:
                 self.update_members()
-                if self.is_planner:
+                if self.is_elected:
                     await self.plan()
                 elif self.assignment_requested:
                     await self.assign_services()
             except Exception as error:
-                # Without planning, dead replicas are never replaced; one
-                # failed round must not end all later ones.
-                LOG.exception('A round of planning failed.', error=str(error))
+                # A failed round must not end planning: failed replicas would
+                # never be replaced.
+                LOG.exception(
+                    'Failed to plan the placements of keys.', error=str(error)
+                )
 
     def request_assignment(self) -> None:
-        """Take note that a request came for a service without a home."""
+        """Request a region for a service that has none."""
         self.assignment_requested = True
 
     async def assign_services(self) -> None:
-        """Propose homes also when it is another node's turn to plan.
+        """Propose regions for services although another node is elected.
 
-        That node may be cut off or not have the configuration yet; whoever
-        proposes first, the ledger keeps one home.
+        That node may be partitioned or not have the configuration yet.  The
+        control hosts keep the first region that is proposed for a service.
         """
         self.assignment_requested = False
         routing = self.routing()
@@ -130,7 +132,7 @@
             await self._propose(placement_state.AssignServices(add))
 
     def update_members(self) -> None:
-        """Take note of who is alive, and whether it is this node's turn."""
+        """Update the live nodes and whether this node is elected."""
         alive = self.members.alive()
         if alive is self.alive_members:
             return
@@ -142,15 +144,15 @@
         planner_host = max(
             nodes, key=lambda host: rendezvous.score('reservations', host)
         )
-        is_planner = planner_host == self.members.me.host
-        if is_planner and not self.is_planner:
-            # What an earlier turn noticed is too long ago to act on.
+        is_elected = planner_host == self.members.me.host
+        if is_elected and not self.is_elected:
+            # Observations from an earlier election are outdated.
             self.away_since = {}
             self.manifest_sync = manifest_sync.ManifestSync()
-        self.is_planner = is_planner
+        self.is_elected = is_elected
 
     async def plan(self) -> None:
-        """Propose what is due, if control can be reached."""
+        """Propose all due changes if a control host can be reached."""
         routing = self.routing()
         if not routing.services() or not await self.updater.refresh():
             return
@@ -167,10 +169,10 @@
             hosts = hosts_by_region.get(region, [])
             await self._change_members(index, hosts, dead)
 
-    # Who there is
+    # Hosts and their state
 
     def _stable_for_s(self, routing: routings.Routing) -> float:
-        """Return how long members must stay the same before founding."""
+        """Return how long the membership must be stable for a new region."""
         here = {member.data_centre for member in self.nodes.values()}
         named = set(manifest_sync.data_centres(routing))
         return (
@@ -191,7 +193,7 @@
         return hosts_by_region
 
     def _hosts_to_replace(self, routing: routings.Routing) -> set[str]:
-        """Return hosts that are away for long, or to be stopped."""
+        """Return hosts that are absent for too long, or drained."""
         now = clock.now()
         placements = self.placement_table.by_partition.values()
         placed = {
@@ -216,9 +218,9 @@
     async def _probe(
         self, partitions: typing.Mapping[str, typing.Sequence[int]]
     ) -> list[messages.Probed]:
-        """Ask hosts how they stand.
+        """Ask hosts for their sessions and active partitions.
 
-        :param partitions: those of interest, by host.
+        :param partitions: partitions of interest, by host.
         """
         alive = [host for host in partitions if host in self.nodes]
         answers = await asyncio.gather(
@@ -239,7 +241,7 @@
     async def _current_replicas(
         self, hosts: typing.Iterable[str]
     ) -> ReplicasByHost:
-        """Return the hosts that answer, with their present sessions."""
+        """Return the hosts that answer, with their current sessions."""
         answers = await self._probe({host: () for host in hosts})
         return {each.replica.host: each.replica for each in answers}
 
@@ -248,7 +250,7 @@
     async def _add_regions(
         self, hosts_by_region: dict[str, list[placement_policy.Host]]
     ) -> None:
-        """Let regions hold keys that don't yet."""
+        """Propose placements for regions that don't hold keys yet."""
         new_regions = sorted(
             set(hosts_by_region) - set(self.placement_table.key_space.regions)
         )
@@ -275,7 +277,7 @@
                 self._announce(self.placement_table.by_partition.values())
 
     async def _finish_handovers(self) -> None:
-        """End the handovers that enough members have completed."""
+        """Propose to end handovers that a majority has completed."""
         in_handover = [
             placement
             for placement in self.placement_table.by_partition.values()
@@ -303,7 +305,12 @@
     async def _change_members(
         self, index: int, hosts: list[placement_policy.Host], dead: set[str]
     ) -> None:
-        """Change the members of partitions of one region."""
+        """Propose new members for partitions of one region.
+
+        :param index: index of the region.
+        :param hosts: hosts of the region that may hold keys.
+        :param dead: hosts to replace.
+        """
         placements = [
             placement
             for placement in self.placement_table.by_partition.values()
@@ -354,7 +361,7 @@
             )
 
     async def _propose(self, change) -> int:
-        """Propose a change; return how many parts were applied."""
+        """Propose a change; return how many of its parts were applied."""
         data = messages.Propose(placement_state.encode(change))
         for host in self.updater.control_hosts:
             result = await self.call(host, data, PROPOSE_TIMEOUT_S)
@@ -367,15 +374,15 @@
     def _announce(
         self, placements: typing.Iterable[placement_table.Placement]
     ) -> None:
-        """Tell replicas of their placements, without waiting for them."""
+        """Send placements to their replicas, without an acknowledgement."""
         by_peer = collections.defaultdict(dict)
         for placement, member in _placement_members(placements):
             by_peer[member.peer][placement.partition] = placement
-        for peer, own in by_peer.items():
-            changed = list(own.values())
+        for peer, by_partition in by_peer.items():
+            announced = list(by_partition.values())
             size = messages.MAX_ROWS
-            for start in range(0, len(changed), size):
-                page = messages.pack_rows(changed[start : start + size])
+            for start in range(0, len(announced), size):
+                page = messages.pack_rows(announced[start : start + size])
                 self.send(peer, page)
 
 
@@ -384,7 +391,7 @@
 ) -> typing.Iterator[
     tuple[placement_table.Placement, placement_table.Replica]
 ]:
-    """Yield placements with each of their members, old ones included."""
+    """Yield placements with each current and previous member."""
     for placement in placements:
         everyone = itertools.chain(
             placement.members, placement.previous_members
@@ -394,7 +401,7 @@
 
 
 def _changed_hosts(due: typing.Iterable) -> list[str]:
-    """Return all hosts that changed placements would have, in order."""
+    """Return all hosts of changed placements, sorted."""
     kept = {
         member.host
         for placement, _change in due
--- a/carawaystair/reservations/service.py
+++ b/carawaystair/reservations/service.py
@@ -1,4 +1,4 @@
-"""Reservations as a service of a node, see ``interfaces.Reservations``."""
+"""The reservation service of a node, see ``interfaces.Reservations``."""
 
 import asyncio
 import random
@@ -24,11 +24,11 @@
 from carawaystair import timeline as timelines
 
 EXPIRE_INTERVAL_S = 5.0
-# A request whose key's replicas this node does not know yet waits for them in
-# steps of the first, up to the second: whoever is refused must be told soon.
+# A request for a key whose placement is unknown polls for it at this interval,
+# up to the maximum; it is short so that a refusal comes soon.
 PLACEMENT_POLL_S = 0.05
 PLACEMENT_WAIT_MAX_S = 0.3
-# Memory for the keys kept here.
+# Memory for the keys that this node holds.
 CAPACITY_BYTES = 16 * 1024 * 1024
 
 
@@ -49,19 +49,19 @@
 
 
 class Reservations(mode.Service):
-    """The keys of this node's requests, and those that it keeps for others.
+    """Reserves keys for the requests of this node and holds replicas.
 
-    :param transport: for messages, between few processes or large ones.
+    :param transport: for large messages and those between few processes.
     :param datagrams: for asks, votes and outcomes: any node talks to the
-        replicas of any key, and a link to every other node would cost more
-        memory than control may.
-    :param members: the membership.
+        replicas of any key, and links to every other node would need more
+        memory than the control plane may use.
+    :param members: the fleet membership.
     :param routing: returns the current configuration.
     :param control_hosts: addresses of the control hosts.
-    :param timeline: takes note of events.
-    :param rng: for sessions, backoff and choices.
-    :param wall_ms: wall clock at the start, see ``names.session``.
-    :param capacity: bytes for the keys kept here.
+    :param timeline: records events.
+    :param rng: random source for sessions, backoff and choices.
+    :param wall_ms: wall clock at the start, see ``identifiers.new_session``.
+    :param capacity: memory for the keys that this node holds, bytes.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
             transport.handle(kind, self._receive)
 
     async def on_stop(self) -> None:
-        """Stop what runs in the background."""
+        """Stop background tasks."""
         self.activator.stop()
         self.coordinator.outcome_sender.stop()
 
@@ -172,21 +172,22 @@
     ) -> None:
         """Store an answer, see ``interfaces.Reservations``.
 
-        Returns when a majority has it or a second has passed; it is sent on
-        in the background.
+        Return when a majority of the replicas has acknowledged it or a second
+        has passed; sending continues in the background.
         """
         await self.coordinator.settle(token, answer, status)
 
     async def release(self, token: str) -> None:
-        """Give a key back, see ``interfaces.Reservations``."""
+        """Release a key, see ``interfaces.Reservations``."""
         await self.coordinator.release(token)
 
     async def _partition(
         self, service: str, key_digest: bytes, deadline: float
     ) -> int | None:
-        """Return the key's partition, once its placement is known.
+        """Return the partition of a key when its placement is known.
 
-        Before any region holds keys there is nothing to wait for.
+        :return: None if it is still unknown after the wait, or at once if no
+            region holds keys.
         """
         until = min(deadline, clock.now() + PLACEMENT_WAIT_MAX_S)
         while True:
@@ -238,21 +239,21 @@
 
     @mode.Service.task
     async def _follow(self) -> None:
-        """Keep the book of placements new."""
+        """Keep the known placements up to date."""
         await self.placement_updater.run()
 
     @mode.Service.task
     async def _plan(self) -> None:
-        """Plan placements, where this node is the one that does."""
+        """Plan placements while this node is elected."""
         await self.planner.run()
 
     @mode.Service.task
     async def _expire(self) -> None:
-        """Forget what may be forgotten."""
+        """Remove expired keys."""
         await self.run_expiry()
 
     async def run_expiry(self) -> None:
-        """Forget keys whose window has passed, now and then."""
+        """Remove expired keys and grants at intervals."""
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL_S)
             self.replica_server.expire()
--- a/carawaystair/reservations/transfer.py
+++ b/carawaystair/reservations/transfer.py
@@ -1,4 +1,4 @@
-"""Hands the keys of a partition to another replica, page by page."""
+"""Transfers the keys of a partition to another replica, page by page."""
 
 import struct
 import typing
@@ -10,24 +10,25 @@
 from carawaystair.reservations import store
 from carawaystair.reservations import windows
 
-# Bytes of a page, about, and keys in it at most: a page must not keep the
-# event loop from requests for long.
+# Approximate size limit and maximum number of keys of a page: building a page
+# must not block the event loop for long.
 PAGE_BYTES = 128 * 1024
 MAX_PAGE_KEYS = 512
-# Transfers under way.  Beyond them further ones are refused, and asked for
-# again after a pause: if a new one took the place of the oldest, whose reader
-# then begins anew, more readers than this would never come to an end.
+# Maximum number of open transfers.  Further ones are refused, and their
+# readers retry after a pause.  If a new transfer replaced the oldest one
+# instead, whose reader would then start again, a larger number of readers
+# would never finish.
 MAX_TRANSFERS = 64
-# A transfer of which no page was asked for so long makes place, seconds: its
-# reader gives up a page after one second.
+# An open transfer is dropped if no page was requested for this long; its
+# reader waits one second for a page.
 IDLE_TIMEOUT_S = 3.0
 
 
 class OpenTransfer(typing.NamedTuple):
-    """A transfer that has begun.
+    """A transfer with pages left to send.
 
-    :param names: the keys, as they were at its beginning.
-    :param used: monotonic time at which a page was last asked for.
+    :param key_digests: keys of the partition at the start of the transfer.
+    :param last_read: monotonic time of the last request for a page.
     """
 
     key_digests: list[bytes]
@@ -35,23 +36,23 @@
 
 
 class TransferServer:
-    """The transfers that one process serves.
+    """Serves the keys of the partition replicas of one process.
 
-    :param replica: its partitions.
+    :param server: partition replicas of the process.
     """
 
     def __init__(self, server: replica_servers.ReplicaServer) -> None:
         self.replica_server = server
         self.started = clock.now()
-        # By partition and reader.
+        # By partition and host of the reader.
         self.open_transfers: dict[tuple[int, str], OpenTransfer] = {}
 
     def window_passed(self) -> bool:
-        """Tell whether all votes of an earlier run of this process are void.
+        """Return whether all votes of earlier runs of this process expired.
 
-        Symptom without the wait: a key is granted again after a restart.
-        Sequence: a replica votes, starts again empty, and votes for another
-        token.  Cause: it doesn't know its own earlier vote.
+        Without this wait a key can be granted again after a restart: the
+        replica votes, restarts without records, and votes for another token,
+        because it doesn't know its own earlier vote.
         """
         window = self.replica_server.placement_table.key_space.window_s
         if not window:
@@ -59,7 +60,7 @@
         return clock.now() - self.started >= windows.abstention_s(window)
 
     def on_fetch(self, _sender: str, ask: messages.Fetch) -> messages.Page:
-        """Answer one page."""
+        """Return one page of keys."""
         server = self.replica_server
         server.placement_table.update([ask.placement])
         replica = server.partitions.get(ask.placement.partition)
@@ -71,8 +72,9 @@
         if state == messages.NOT_READY:
             return messages.Page(state)
         if ask.reason == messages.RECOVER:
-            # Before any key is sent: every later vote of this replica then
-            # tells owners not to count votes of the earlier session.
+            # Recorded before any key is sent: every later vote of this replica
+            # then lists the new session, and coordinators discard votes of
+            # the earlier one.
             known = replica.record_session(ask.host, ask.session)
             if known > ask.session:
                 return messages.Page(messages.STALE_SESSION, known)
@@ -81,7 +83,7 @@
     def _source_state(
         self, replica: partition_replicas.PartitionReplica, reason: int
     ) -> int:
-        """Return how a seat stands as a source of keys."""
+        """Return the state of a replica as a source of keys."""
         if replica.state == partition_replicas.ACTIVE:
             return messages.ACTIVE
         if reason == messages.RECOVER:
@@ -103,25 +105,25 @@
         key_digests = self._transfer_keys(transfer_id, replica, ask.start)
         if key_digests is None:
             return messages.Page(messages.NOT_READY)
-        end = ask.start
+        next_start = ask.start
         entries, size = [], 0
         for key_digest in key_digests[ask.start : ask.start + MAX_PAGE_KEYS]:
-            end += 1
+            next_start += 1
             entry = _entry(replica.store, key_digest)
             if entry is not None:
                 entries.append(entry)
                 size += len(entry.record)
             if size >= PAGE_BYTES:
                 break
-        if end >= len(key_digests):
+        if next_start >= len(key_digests):
             del self.open_transfers[transfer_id]
-            end = 0
+            next_start = 0
         return messages.Page(
             state,
             ask.session,
             tuple(replica.known_sessions.items()),
             tuple(entries),
-            end,
+            next_start,
         )
 
     def _transfer_keys(
@@ -130,7 +132,7 @@
         replica: partition_replicas.PartitionReplica,
         start: int,
     ) -> list[bytes] | None:
-        """Return the keys of a transfer, None when it can't be served."""
+        """Return the keys of a transfer, or None if it can't be served."""
         now = clock.now()
         transfer = self.open_transfers.pop(transfer_id, None)
         if start and transfer is None:
@@ -138,14 +140,14 @@
         if not start:
             if not self._evict_idle(now):
                 return None
-            # The names as of now: what is voted later carries the new
-            # session, and what is dropped later needs no sending.
+            # The keys at this time suffice: later votes list the new session,
+            # and records that are removed later need not be sent.
             transfer = OpenTransfer(list(replica.store.records), now)
         self.open_transfers[transfer_id] = transfer._replace(last_read=now)
         return transfer.key_digests
 
     def _evict_idle(self, now: float) -> bool:
-        """Let go of transfers that nobody reads on; tell if there is room."""
+        """Drop idle transfers; return whether another one may start."""
         self.open_transfers = {
             transfer_id: transfer
             for transfer_id, transfer in self.open_transfers.items()
@@ -173,10 +175,12 @@
     entries: typing.Iterable[messages.Entry],
     released: typing.Container[bytes],
 ) -> bool:
-    """Take fetched keys into a store that doesn't vote yet.
+    """Merge fetched keys into the store of a replica that doesn't vote yet.
 
-    :param released: tokens that were given back meanwhile.
-    :return: False when an entry can't be read.
+    :param target: store of the replica.
+    :param entries: fetched keys.
+    :param released: tokens that were released in the meantime.
+    :return: False if an entry is invalid.
     """
     now = clock.now()
     for entry in entries:
@@ -195,11 +199,11 @@
 
 
 def merge_records(first: store.Record, second: store.Record) -> store.Record:
-    """Return what two replicas together say of a key.
+    """Return the record that follows from those of two replicas.
 
-    Where they hold it for two tokens, one of these may have been granted
-    with a vote that is lost.  Which one can't be told, so neither gets a
-    vote here before the window has passed.
+    If they hold the key for different tokens, one of these may have been
+    granted with a vote that was lost.  It is not known which one, so neither
+    gets a vote here before the window has passed.
     """
     expires = max(first.expires, second.expires)
     if first.token != second.token or store.BLOCKED in (
