--- a/test/reservation_fleet.py
+++ b/test/reservation_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of reservations on a fake network, and an auditor of its grants."""
+"""A fleet of reservation services on a fake network, with checked grants."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
     return routing.Routing(rows.Version(1, 1), table)
 
 
-class Auditor:
+class GrantAuditor:
     """Checks that no key is granted twice within its window."""
 
     def __init__(self, window_s=WINDOW_S):
@@ -44,25 +44,25 @@
         self.count = 0
 
     def granted(self, key, token):
-        """Take note of a grant."""
+        """Record a grant and check that no other one is active."""
         now = clock.now()
-        live = [
+        active = [
             (since, other)
             for since, other in self.grants.get(key, [])
             if now - since < self.window_s
         ]
         self.count += 1
-        self.grants[key] = [*live, (now, token)]
-        detail = '%s at %.3f: %s, now %s' % (key, now, live, token)
-        invariants.check(invariants.RESERVED_ONCE, not live, detail)
+        self.grants[key] = [*active, (now, token)]
+        detail = '%s at %.3f: %s, now %s' % (key, now, active, token)
+        invariants.check(invariants.RESERVED_ONCE, not active, detail)
 
     def released(self, key, token):
-        """Take note that a grant was given back unused."""
+        """Remove a released grant."""
         self.grants[key] = [g for g in self.grants[key] if g[1] != token]
 
 
 class Group:
-    """A control group of one that keeps the placements."""
+    """A control group with one member."""
 
     def __init__(self):
         self.placement_state = placement_state.PlacementState()
@@ -75,9 +75,11 @@
 class Fleet:
     """Nodes and one control host.
 
-    :param network: carries their messages.
-    :param size: how many nodes.
-    :param data_centres: over how many data centres.
+    :param network: fake network.
+    :param size: number of nodes.
+    :param data_centres: number of data centres.
+    :param capacity: memory for keys of each node, bytes.
+    :param window_s: window of the keys, seconds.
     """
 
     def __init__(
@@ -95,7 +97,7 @@
             fakes.member(number, data_centres)._replace(region='here')
             for number in range(size)
         ]
-        # What each node believes of the others; tests change it.
+        # Membership as each node sees it; tests change it.
         self.views = {
             member.host: fakes.Members(
                 member, [m for m in self.members if m != member]
@@ -108,10 +110,10 @@
         )
         self.nodes = {}
         self.starts = 0
-        self.auditor = Auditor(window_s)
+        self.auditor = GrantAuditor(window_s)
 
     async def start(self, *numbers):
-        """Start (again) some nodes, or all."""
+        """Start or restart some nodes, or all."""
         for number in numbers or range(len(self.members)):
             member = self.members[number]
             self.starts += 1
@@ -127,8 +129,8 @@
                 clock.wall_ms(),
                 self.capacity,
             )
-            # In this order: mode starts its tasks in the order of a set,
-            # which differs from one run of Python to the next.
+            # Started here in a fixed order: mode starts its tasks in the order
+            # of a set, which differs between runs of Python.
             loops = (
                 node.placement_updater.run,
                 node.planner.run,
@@ -138,13 +140,13 @@
             self.nodes[number] = node
 
     async def crash(self, *numbers):
-        """Let nodes vanish with all that they know."""
+        """Remove nodes and all their state."""
         for number in numbers:
             self.network.remove(self.members[number].peer)
             await self._end(self.nodes.pop(number))
 
     async def stop(self):
-        """Stop everything."""
+        """Stop all nodes."""
         for node in list(self.nodes.values()):
             await self._end(node)
 
@@ -153,8 +155,8 @@
             task.cancel()
         await node.on_stop()
 
-    def see(self, *numbers):
-        """Let all nodes believe that just these are alive."""
+    def set_alive(self, *numbers):
+        """Let all nodes see only these nodes as alive."""
         alive = [self.members[number] for number in numbers]
         for host, view in self.views.items():
             view.others = [m for m in alive if m.host != host]
@@ -165,7 +167,7 @@
         return [self.members[number].peer for number in numbers]
 
     def holders(self, key='k', customer='c'):
-        """Return the numbers of the nodes that hold a key."""
+        """Return the numbers of the nodes with a replica of a key."""
         table = self.group.placement_state.placement_table
         key_digest = identifiers.key_digest('pay', customer, key)
         placement = table.get(table.partition('pay', key_digest))
@@ -173,7 +175,7 @@
         return [hosts.index(member.host) for member in placement.members]
 
     def record(self, number, key='k', customer='c'):
-        """Return what one node holds of a key."""
+        """Return the record of a key at one node."""
         key_digest = identifiers.key_digest('pay', customer, key)
         node = self.nodes[number]
         replica = node.replica_server.partitions[
@@ -181,15 +183,15 @@
         ]
         return replica.store.get(key_digest, clock.now())
 
-    def outsiders(self, key='k'):
-        """Return the numbers of nodes that do not hold a key."""
+    def non_holders(self, key='k'):
+        """Return the numbers of the nodes without a replica of a key."""
         holders = self.holders(key)
         return [number for number in self.nodes if number not in holders]
 
     async def reserve(
         self, number, key='k', customer='c', digest=DIGEST, seconds=3.0
     ):
-        """Reserve a key at a node; a grant goes to the auditor."""
+        """Reserve a key at a node and check the grant."""
         result = await self.nodes[number].reserve(
             'pay', customer, key, digest, clock.now() + seconds
         )
--- a/test/test_reservation_transfers.py
+++ b/test/test_reservation_transfers.py
@@ -1,4 +1,4 @@
-"""Many replicas fetch the keys of partitions from one at the same time."""
+"""Tests of transfers: many replicas fetch keys from one process."""
 
 import asyncio
 import types
@@ -10,26 +10,26 @@
 from carawaystair.reservations import transfer
 from test import fakes
 
-# More than the transfers that one process serves at once.
+# More than the maximum number of open transfers.
 READERS = 2 * transfer.MAX_TRANSFERS + 10
 KEYS = 3 * transfer.MAX_PAGE_KEYS - 1
 
 
 def record():
-    """Return a packed key that lasts."""
+    """Return a packed record that does not expire during the test."""
     expires = clock.now() + 1000
     return store.pack(store.Record(b't' * 16, b'd' * 16, 1, expires))
 
 
-def serving():
-    """Return the transfers of a process with many partitions of keys."""
+def make_server():
+    """Return the transfer server of a process and its replicas."""
     data = record()
-    kept = {b'%d' % number: data for number in range(KEYS)}
+    records = {b'%d' % number: data for number in range(KEYS)}
     replicas = {
         number: types.SimpleNamespace(
             placement=types.SimpleNamespace(partition=number, epoch=1),
             state=partition_replicas.ACTIVE,
-            store=types.SimpleNamespace(records=kept),
+            store=types.SimpleNamespace(records=records),
             known_sessions={},
         )
         for number in range(READERS)
@@ -41,28 +41,27 @@
     return transfer.TransferServer(server), replicas
 
 
-def ask(replica, start):
+def fetch_message(replica, start):
     return messages.Fetch(
         replica.placement, 'asker', 1, messages.TAKE_OVER, start
     )
 
 
-def test_transfers_end_although_more_are_asked_for_than_served_at_once():
-    """Transfers took each other's place, and none ever ended.
+def test_more_readers_than_open_transfers_all_finish():
+    """Guards against transfers that displace each other forever.
 
-    A process remembered the keys of 64 transfers and dropped the oldest for
-    each new one.  The reader of a dropped one began again, and dropped
-    another that way: with more than twice as many readers, asking by turns,
-    all began again without an end.
+    A process kept 64 open transfers and dropped the oldest for each new one.
+    The reader of a dropped transfer started again and displaced another one:
+    with more than twice as many readers, requesting in turn, none finished.
     """
 
     async def scenario():
-        transfer_server, replicas = serving()
+        transfer_server, replicas = make_server()
         starts = dict.fromkeys(replicas, 0)
         for _turn in range(12):
             for number, start in list(starts.items()):
                 page = transfer_server.on_fetch(
-                    'asker', ask(replicas[number], start)
+                    'asker', fetch_message(replicas[number], start)
                 )
                 starts[number] = page.next_start
                 if page.state == messages.ACTIVE and not page.next_start:
@@ -72,17 +71,23 @@
     assert not fakes.run(scenario())
 
 
-def test_transfer_that_nobody_reads_on_makes_place():
+def test_idle_transfer_is_dropped_for_a_new_one():
     async def scenario():
-        transfer_server, replicas = serving()
+        transfer_server, replicas = make_server()
         for number in range(transfer.MAX_TRANSFERS):
-            transfer_server.on_fetch('asker', ask(replicas[number], 0))
-        late = ask(replicas[READERS - 1], 0)
+            transfer_server.on_fetch(
+                'asker', fetch_message(replicas[number], 0)
+            )
+        late_request = fetch_message(replicas[READERS - 1], 0)
         assert (
-            transfer_server.on_fetch('asker', late).state == messages.NOT_READY
+            transfer_server.on_fetch('asker', late_request).state
+            == messages.NOT_READY
         )
         await asyncio.sleep(transfer.IDLE_TIMEOUT_S)
-        assert transfer_server.on_fetch('asker', late).state == messages.ACTIVE
+        assert (
+            transfer_server.on_fetch('asker', late_request).state
+            == messages.ACTIVE
+        )
         assert len(transfer_server.open_transfers) == 1
 
     fakes.run(scenario())
--- a/test/test_reservations_feature.py
+++ b/test/test_reservations_feature.py
@@ -1,4 +1,4 @@
-"""Scenarios: a non-idempotent request runs at most once."""
+"""Scenarios: a request that is not idempotent runs at most once."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
 pytest_bdd.scenarios('at_most_once.feature')
 
 
-class Play:
-    """Steps that are played in one virtual loop at the end.
+class ScenarioRunner:
+    """Collects the steps of a scenario and runs them in one virtual loop.
 
-    :param size: how many nodes.
-    :param data_centres: over how many data centres.
+    :param size: number of nodes.
+    :param data_centres: number of data centres.
     """
 
     def __init__(self, size, data_centres):
@@ -31,7 +31,7 @@
         self.fleet = None
 
     async def send(self, number, settle=True):
-        """Send the payout to a node; it runs when its key is granted."""
+        """Send the payout to a node; it runs if its key is granted."""
         result = await self.fleet.reserve(number, seconds=6)
         self.results.append(result)
         if result.is_ok() and result.ok.granted:
@@ -39,8 +39,8 @@
             if settle:
                 await self.fleet.settle(number, result, b'paid')
 
-    def play(self):
-        """Play all steps."""
+    def run(self):
+        """Run all steps."""
 
         async def _main():
             self.fleet = reservation_fleet.Fleet(
@@ -56,117 +56,123 @@
 
 
 @pytest.fixture(autouse=True)
-def small(monkeypatch):
-    """Few partitions, and hosts that are replaced soon."""
+def small_fleet(monkeypatch):
+    """Use few partitions and quick replacement of hosts."""
     monkeypatch.setattr(identifiers, 'PARTITIONS', 4)
     monkeypatch.setattr(planner, 'REPLACE_AFTER_S', 2.0)
 
 
 @pytest_bdd.given(
-    parsers.parse('a fleet of {size:d} nodes in {centres:d} data centres'),
-    target_fixture='story',
+    parsers.parse(
+        'a fleet of {size:d} nodes in {data_centres:d} data centres'
+    ),
+    target_fixture='scenario',
 )
-def _fleet(size, centres):
-    return Play(size, centres)
+def _fleet(size, data_centres):
+    return ScenarioRunner(size, data_centres)
 
 
 @pytest_bdd.given(
     parsers.parse('{loss:d} percent of the messages between nodes are lost')
 )
-def _loss(story, loss):
+def _loss(scenario, loss):
     async def _step():
-        story.network.loss = loss / 100
+        scenario.network.loss = loss / 100
 
-    story.steps.append(_step)
+    scenario.steps.append(_step)
 
 
 @pytest_bdd.when(parsers.parse('a payout is sent to node {number:d} and runs'))
 @pytest_bdd.when(parsers.parse('a payout is sent to node {number:d}'))
 @pytest_bdd.when(parsers.parse('it is sent again to node {number:d}'))
-def _send(story, number):
-    story.steps.append(lambda: story.send(number))
+def _send(scenario, number):
+    scenario.steps.append(lambda: scenario.send(number))
 
 
 @pytest_bdd.when(
     parsers.parse('a payout is sent to node {number:d} and its answer is lost')
 )
-def _lost(story, number):
-    story.steps.append(lambda: story.send(number, settle=False))
+def _lost(scenario, number):
+    scenario.steps.append(lambda: scenario.send(number, settle=False))
 
 
 @pytest_bdd.when('a payout is sent to nodes 1 and 2 at once')
-def _both(story):
-    story.steps.append(lambda: asyncio.gather(story.send(1), story.send(2)))
+def _both(scenario):
+    scenario.steps.append(
+        lambda: asyncio.gather(scenario.send(1), scenario.send(2))
+    )
 
 
 @pytest_bdd.when('each replica of its key restarts in turn')
-def _in_turn(story):
+def _in_turn(scenario):
     async def _step():
-        for number in story.fleet.holders():
-            await story.fleet.crash(number)
-            await story.fleet.start(number)
+        for number in scenario.fleet.holders():
+            await scenario.fleet.crash(number)
+            await scenario.fleet.start(number)
             await asyncio.sleep(2)
 
-    story.steps.append(_step)
+    scenario.steps.append(_step)
 
 
 @pytest_bdd.when('all replicas of its key restart together')
-def _together(story):
+def _together(scenario):
     async def _step():
-        holders = story.fleet.holders()
-        await story.fleet.crash(*holders)
-        await story.fleet.start(*holders)
+        holders = scenario.fleet.holders()
+        await scenario.fleet.crash(*holders)
+        await scenario.fleet.start(*holders)
         await asyncio.sleep(2)
 
-    story.steps.append(_step)
+    scenario.steps.append(_step)
 
 
-@pytest_bdd.when('a replica of its key is lost for good')
-def _gone(story):
+@pytest_bdd.when('a replica of its key is lost permanently')
+def _gone(scenario):
     async def _step():
-        number = next(n for n in story.fleet.holders() if n not in (1, 2))
-        await story.fleet.crash(number)
-        story.fleet.see(*story.fleet.nodes)
+        number = next(n for n in scenario.fleet.holders() if n not in (1, 2))
+        await scenario.fleet.crash(number)
+        scenario.fleet.set_alive(*scenario.fleet.nodes)
         await asyncio.sleep(10)
-        assert number not in story.fleet.holders()
+        assert number not in scenario.fleet.holders()
 
-    story.steps.append(_step)
+    scenario.steps.append(_step)
 
 
-@pytest_bdd.when(parsers.parse('node {number:d} is cut off from all others'))
-def _cut(story, number):
+@pytest_bdd.when(
+    parsers.parse('node {number:d} is partitioned from all others')
+)
+def _cut(scenario, number):
     async def _step():
-        others = [n for n in range(story.size) if n != number]
-        story.network.cut(
-            story.fleet.addresses(number), story.fleet.addresses(*others)
+        others = [n for n in range(scenario.size) if n != number]
+        scenario.network.cut(
+            scenario.fleet.addresses(number), scenario.fleet.addresses(*others)
         )
 
-    story.steps.append(_step)
+    scenario.steps.append(_step)
 
 
 @pytest_bdd.then('it ran once')
-def _once(story):
-    story.play()
-    assert story.runs == 1
+def _once(scenario):
+    scenario.run()
+    assert scenario.runs == 1
 
 
 @pytest_bdd.then('it ran at most once')
-def _at_most(story):
-    story.play()
-    assert story.runs <= 1
+def _at_most(scenario):
+    scenario.run()
+    assert scenario.runs <= 1
 
 
 @pytest_bdd.then('it never ran')
-def _never(story):
-    story.play()
-    assert story.runs == 0
+def _never(scenario):
+    scenario.run()
+    assert scenario.runs == 0
 
 
-@pytest_bdd.then('the repeat got the stored answer')
-def _stored(story):
-    assert story.results[-1].ok.answer == b'paid'
+@pytest_bdd.then('the repeat gets the stored answer')
+def _stored(scenario):
+    assert scenario.results[-1].ok.answer == b'paid'
 
 
-@pytest_bdd.then('the repeat is told that its end is unknown')
-def _unknown(story):
-    assert story.results[-1].ok.running
+@pytest_bdd.then('the repeat is answered that the request may be running')
+def _unknown(scenario):
+    assert scenario.results[-1].ok.running
