--- a/carawaystair/reservations/placement_policy.py
+++ b/carawaystair/reservations/placement_policy.py
@@ -113,11 +113,11 @@
                 -rendezvous.score('reservations/%d' % partition, data_centre),
             ),
         )
-        found = (
+        candidates = (
             self.take_least_loaded(data_centre, excluded)
             for data_centre in ranked
         )
-        return next((host for host in found if host is not None), None)
+        return next((host for host in candidates if host is not None), None)
 
 
 def initial_hosts(pool: HostPool) -> list[list[Host]]:
@@ -155,8 +155,8 @@
 ) -> ReplicaChange | None:
     """Return the next due change of the members of a partition.
 
-    Dead replicas have priority, then the number of replicas, then their
-    spread over data centres, then the balance of loads.
+    Only one change at a time: dead replicas first, then the number of
+    replicas, then their spread over data centres, then the balance of loads.
 
     :param dead: hosts to replace.
     """
--- a/carawaystair/reservations/planner.py
+++ b/carawaystair/reservations/planner.py
@@ -87,16 +87,18 @@
         self.nodes: dict[str, interfaces.Member] = {}
         self.is_elected = False
         self.assignment_requested = False
-        self.members_since = 0.0
+        self.members_changed_at = 0.0
         # Absent hosts of placements, with the time since when.
         self.away_since: dict[str, float] = {}
 
     async def run(self) -> None:
         """Plan at intervals."""
         while True:
-            regions_exist = bool(self.placement_table.key_space.key_regions)
+            services_assigned = bool(
+                self.placement_table.key_space.key_regions
+            )
             await asyncio.sleep(
-                INTERVAL_S if regions_exist else INITIAL_INTERVAL_S
+                INTERVAL_S if services_assigned else INITIAL_INTERVAL_S
             )
             try:
                 self.update_members()
@@ -139,7 +141,7 @@
         self.alive_members = alive
         nodes = {m.host: m for m in alive if not m.control}
         if nodes.keys() != self.nodes.keys():
-            self.members_since = clock.now()
+            self.members_changed_at = clock.now()
         self.nodes = nodes
         planner_host = max(
             nodes, key=lambda host: rendezvous.score('reservations', host)
@@ -161,7 +163,9 @@
         ):
             await self._propose(change)
         hosts_by_region = self._hosts_by_region(routing)
-        if clock.now() - self.members_since >= self._stable_for_s(routing):
+        if clock.now() - self.members_changed_at >= self._stable_for_s(
+            routing
+        ):
             await self._add_regions(hosts_by_region)
         dead = self._hosts_to_replace(routing)
         await self._finish_handovers()
@@ -173,11 +177,11 @@
 
     def _stable_for_s(self, routing: routings.Routing) -> float:
         """Return how long the membership must be stable for a new region."""
-        here = {member.data_centre for member in self.nodes.values()}
+        present = {member.data_centre for member in self.nodes.values()}
         named = set(manifest_sync.data_centres(routing))
         return (
             ALL_DATA_CENTRES_STABLE_S
-            if named and named <= here
+            if named and named <= present
             else MEMBERS_STABLE_S
         )
 
@@ -362,9 +366,9 @@
 
     async def _propose(self, change) -> int:
         """Propose a change; return how many of its parts were applied."""
-        data = messages.Propose(placement_state.encode(change))
+        proposal = messages.Propose(placement_state.encode(change))
         for host in self.updater.control_hosts:
-            result = await self.call(host, data, PROPOSE_TIMEOUT_S)
+            result = await self.call(host, proposal, PROPOSE_TIMEOUT_S)
             answer = result.default_value(None)
             if answer is not None and answer.applied >= 0:
                 await self.updater.refresh()
--- a/carawaystair/reservations/service.py
+++ b/carawaystair/reservations/service.py
@@ -238,7 +238,7 @@
     # Tasks
 
     @mode.Service.task
-    async def _follow(self) -> None:
+    async def _update_placements(self) -> None:
         """Keep the known placements up to date."""
         await self.placement_updater.run()
 
--- a/carawaystair/reservations/transfer.py
+++ b/carawaystair/reservations/transfer.py
@@ -88,8 +88,8 @@
             return messages.ACTIVE
         if reason == messages.RECOVER:
             return messages.NOT_READY
-        before = replica.placement.was_member(self.replica_server.host)
-        if before and (
+        was_member = replica.placement.was_member(self.replica_server.host)
+        if was_member and (
             replica.state == partition_replicas.SEALED or self.window_passed()
         ):
             return messages.SEALED
@@ -157,9 +157,9 @@
 
 
 def _entry(
-    target: store.RecordStore, key_digest: bytes
+    source: store.RecordStore, key_digest: bytes
 ) -> messages.Entry | None:
-    data = target.records.get(key_digest)
+    data = source.records.get(key_digest)
     if data is None:
         return None
     remaining_s = store.unpack(data).expires - clock.now()
