--- a/test/test_reservations.py
+++ b/test/test_reservations.py
@@ -170,11 +170,11 @@
     """
 
     async def _scenario(fleet, network):
-        owner = fleet.non_holders()[0]
-        first = await fleet.reserve(owner)
-        others = [n for n in range(6) if n != owner]
-        network.cut(fleet.addresses(owner), fleet.addresses(*others))
-        await fleet.settle(owner, first)
+        coordinator = fleet.non_holders()[0]
+        first = await fleet.reserve(coordinator)
+        others = [n for n in range(6) if n != coordinator]
+        network.cut(fleet.addresses(coordinator), fleet.addresses(*others))
+        await fleet.settle(coordinator, first)
         assert is_running(await fleet.reserve(others[0]))
         network.heal()
         await asyncio.sleep(6)
@@ -192,9 +192,9 @@
     """
 
     async def _scenario(fleet, _network):
-        owner, other = fleet.non_holders()[:2]
-        await fleet.reserve(owner)
-        await fleet.crash(owner)
+        coordinator, other = fleet.non_holders()[:2]
+        await fleet.reserve(coordinator)
+        await fleet.crash(coordinator)
         assert is_running(await fleet.reserve(other))
         await asyncio.sleep(WINDOW_S - 10)
         assert is_running(await fleet.reserve(other))
@@ -238,14 +238,14 @@
     """
 
     async def _scenario(fleet, _network):
-        owner, other = fleet.non_holders()[:2]
-        first = await fleet.reserve(owner)
+        coordinator, other = fleet.non_holders()[:2]
+        first = await fleet.reserve(coordinator)
         for number in fleet.holders():
             await fleet.crash(number)
             await fleet.start(number)
             await asyncio.sleep(2)
             assert is_running(await fleet.reserve(other))
-        await fleet.settle(owner, first)
+        await fleet.settle(coordinator, first)
         assert (await fleet.reserve(other)).ok.answer == b'answer'
 
     run_scenario(_scenario)
@@ -259,8 +259,8 @@
     """
 
     async def _scenario(fleet, _network):
-        owner, other = fleet.non_holders()[:2]
-        await fleet.reserve(owner)
+        coordinator, other = fleet.non_holders()[:2]
+        await fleet.reserve(coordinator)
         two = fleet.holders()[:2]
         await fleet.crash(*two)
         await fleet.start(*two)
@@ -277,13 +277,13 @@
     """Two of five data centres may be lost, but not three."""
 
     async def _scenario(fleet, network):
-        gone = [n for n in range(10) if n % 5 < lost]
-        left = [n for n in range(10) if n % 5 >= lost]
+        lost_nodes = [n for n in range(10) if n % 5 < lost]
+        remaining = [n for n in range(10) if n % 5 >= lost]
         network.cut(
-            [*fleet.addresses(*gone), reservation_fleet.CONTROL],
-            fleet.addresses(*left),
+            [*fleet.addresses(*lost_nodes), reservation_fleet.CONTROL],
+            fleet.addresses(*remaining),
         )
-        result = await fleet.reserve(left[-1])
+        result = await fleet.reserve(remaining[-1])
         assert result.is_ok() == works
 
     run_scenario(_scenario, size=10, data_centres=5)
@@ -294,8 +294,8 @@
 
 def test_dead_replica_is_replaced_and_the_key_stays_held():
     async def _scenario(fleet, _network):
-        owner, other = fleet.non_holders()[:2]
-        await fleet.reserve(owner)
+        coordinator, other = fleet.non_holders()[:2]
+        await fleet.reserve(coordinator)
         before = fleet.holders()
         await fleet.crash(before[0])
         fleet.set_alive(*fleet.nodes)
@@ -318,8 +318,8 @@
     """
 
     async def _scenario(fleet, _network):
-        owner = fleet.non_holders()[0]
-        first = await fleet.reserve(owner)
+        coordinator = fleet.non_holders()[0]
+        first = await fleet.reserve(coordinator)
         holders = fleet.holders()
         for number in fleet.non_holders():
             view = fleet.views[fleet.members[number].host]
@@ -331,7 +331,7 @@
             await asyncio.sleep(1)
             results = [await fleet.reserve(n) for n in fleet.nodes]
             assert not any(r.is_ok() and r.ok.granted for r in results)
-        await fleet.settle(owner, first)
+        await fleet.settle(coordinator, first)
 
     run_scenario(_scenario)
 
@@ -341,16 +341,16 @@
         dead = fleet.holders()[0]
         await fleet.crash(dead)
         fleet.set_alive(*fleet.nodes)
-        wins = 0
+        grants = 0
         for turn in range(30):
             keys = [(n, str(turn)) for n in fleet.nodes]
             results = await asyncio.gather(
                 *(fleet.reserve(n, key) for n, key in keys)
             )
-            wins += sum(r.is_ok() and r.ok.granted for r in results)
+            grants += sum(r.is_ok() and r.ok.granted for r in results)
             await asyncio.sleep(0.2)
         # In some turns all competing tokens are released and none is granted.
-        assert dead not in fleet.holders() and wins >= 25
+        assert dead not in fleet.holders() and grants >= 25
 
     run_scenario(_scenario)
 
