--- a/bench/exp_fairness.py
+++ b/bench/exp_fairness.py
@@ -34,15 +34,15 @@
 class PlainGate(gate.Gate):
     """Plain fair queueing: kinds are not told apart."""
 
-    def _may(self, bulk: bool) -> bool:
+    def _kind_may_start(self, bulk: bool) -> bool:
         return True
 
 
 class HalfGate(gate.Gate):
     """A fixed reserve: long transfers hold at most half of the slots."""
 
-    def _may(self, bulk: bool) -> bool:
-        return not bulk or self.running_bulk < max(1, self.whole // 2)
+    def _kind_may_start(self, bulk: bool) -> bool:
+        return not bulk or self.running_bulk < max(1, self.whole_slots // 2)
 
 
 class QuickswapGate(gate.Gate):
@@ -53,13 +53,13 @@
     with quickswap", 2025, section 4.4).
     """
 
-    def _may(self, bulk: bool) -> bool:
+    def _kind_may_start(self, bulk: bool) -> bool:
         short = self.running - self.running_bulk
-        size_bulk = self.queue.size - self.queue.size_short
+        size_bulk = self.queue.size - self.queue.short_size
         starved = [
             kind
             for kind, waiting, running in (
-                (False, self.queue.size_short, short),
+                (False, self.queue.short_size, short),
                 (True, size_bulk, self.running_bulk),
             )
             if waiting and not running
@@ -76,10 +76,10 @@
 
     phase = False
 
-    def _may(self, bulk: bool) -> bool:
+    def _kind_may_start(self, bulk: bool) -> bool:
         short = self.running - self.running_bulk
-        size_bulk = self.queue.size - self.queue.size_short
-        waiting = size_bulk if self.phase else self.queue.size_short
+        size_bulk = self.queue.size - self.queue.short_size
+        waiting = size_bulk if self.phase else self.queue.short_size
         running = self.running_bulk if self.phase else short
         if not waiting and running <= self.limit / 2:
             self.phase = bulk
--- a/bench/exp_overload.py
+++ b/bench/exp_overload.py
@@ -19,7 +19,7 @@
 class FixedGate(gate.Gate):
     """The announced slots are believed whatever answers show."""
 
-    def _learn(self, *_arguments) -> None:
+    def _update_limit(self, *_arguments) -> None:
         pass
 
 
--- a/carawaystair/admission/controller.py
+++ b/carawaystair/admission/controller.py
@@ -7,7 +7,7 @@
 import expression
 import mode
 
-from carawaystair.admission import flows
+from carawaystair.admission import fair_queue
 from carawaystair.admission import gate as gates
 from carawaystair import codes
 from carawaystair import interfaces
@@ -52,7 +52,7 @@
         self.health = health
         self.routing = routing
         self.timeline = timeline
-        self.current = routing()
+        self.current_routing = routing()
         self.gates: dict[str, gates.Gate] = {}
         directory.subscribe(self._upstream_changed)
 
@@ -99,11 +99,11 @@
         """Follow ejections and the configuration."""
         while not self.should_stop:
             await asyncio.sleep(TICK_S)
-            if self.routing() is not self.current:
-                self._configure()
+            if self.routing() is not self.current_routing:
+                self._apply_routing()
             for gate in self.gates.values():
-                self._set_share(gate)
-                self._forget(gate)
+                self._update_share(gate)
+                self._forget_idle_flows(gate)
 
     def _gate(self, service: str) -> gates.Gate:
         """Make the gate of a service on its first request."""
@@ -111,37 +111,37 @@
             service,
             self._flow,
             self._service(service).queue,
-            functools.partial(self._event, service),
+            functools.partial(self._record_event, service),
         )
         self.gates[service] = gate
-        self._set_share(gate)
+        self._update_share(gate)
         return gate
 
-    def _event(self, service: str, kind: str, text: str) -> None:
+    def _record_event(self, service: str, kind: str, text: str) -> None:
         self.timeline.record(kind, text, service=service)
 
     def _service(self, name: str) -> manifests.Service:
-        return self.current.service(name) or manifests.Service()
+        return self.current_routing.service(name) or manifests.Service()
 
-    def _flow(self, customer: str) -> flows.Flow:
+    def _flow(self, customer: str) -> fair_queue.Flow:
         """Make the flow of a customer; unknown ones share a class."""
-        known = self.current.customer(customer)
+        known = self.current_routing.customer(customer)
         if known is None:
-            other = self.current.customer(manifests.OTHER)
+            other = self.current_routing.customer(manifests.OTHER)
             weight = other.weight if other is not None else 1
-            return flows.Flow(manifests.OTHER, weight)
-        return flows.Flow(customer, known.weight, known.limit)
+            return fair_queue.Flow(manifests.OTHER, weight)
+        return fair_queue.Flow(customer, known.weight, known.limit)
 
-    def _configure(self) -> None:
+    def _apply_routing(self) -> None:
         """Take over a new configuration."""
-        self.current = self.routing()
+        self.current_routing = self.routing()
         for gate in self.gates.values():
             gate.queue_limit = self._service(gate.service).queue
             for flow in gate.flows.values():
                 fresh = self._flow(flow.customer)
-                flow.weight, flow.cap = fresh.weight, fresh.cap
+                flow.weight, flow.max_running = fresh.weight, fresh.max_running
 
-    def _set_share(self, gate: gates.Gate) -> None:
+    def _update_share(self, gate: gates.Gate) -> None:
         """Give a gate this node's static share of the slots."""
         slots = self.slots(gate.service)
         share = slots / max(len(self.members.alive()), 1)
@@ -152,9 +152,9 @@
     def _upstream_changed(self, upstream: interfaces.Upstream) -> None:
         gate = self.gates.get(upstream.service)
         if gate is not None:
-            self._set_share(gate)
+            self._update_share(gate)
 
-    def _forget(self, gate: gates.Gate) -> None:
+    def _forget_idle_flows(self, gate: gates.Gate) -> None:
         """Forget idle customers when a gate knows too many."""
         if len(gate.flows) <= MAX_IDLE_FLOWS:
             return
--- a/carawaystair/admission/flows.py
+++ b/carawaystair/admission/fair_queue.py
@@ -18,7 +18,7 @@
     :param future: takes the permit or the failure.
     """
 
-    __slots__ = ('bulk', 'deadline', 'flow', 'future', 'number', 'timer')
+    __slots__ = ('bulk', 'deadline', 'flow', 'future', 'arrival', 'timer')
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.bulk = bulk
         self.deadline = deadline
         self.future = future
-        self.number = 0
+        self.arrival = 0
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -40,28 +40,31 @@
 
     :param customer: the customer, or ``manifest.OTHER``.
     :param weight: its share relative to other customers.
-    :param cap: requests that it may run at once on this node, 0 for any.
+    :param max_running: requests that it may run at once on this node, 0 for
+        any number.
     """
 
     # Plain lists: an empty deque costs ten times the memory, and a queue is
     # short enough to shift.
     __slots__ = (
         'bulk',
-        'cap',
+        'max_running',
         'customer',
         'running',
         'short',
-        'tag',
+        'start_tag',
         'weight',
     )
 
-    def __init__(self, customer: str, weight: float, cap: float = 0) -> None:
+    def __init__(
+        self, customer: str, weight: float, max_running: float = 0
+    ) -> None:
         self.customer = customer
         self.weight = weight
-        self.cap = cap
+        self.max_running = max_running
         self.running = 0
         # Virtual time at which its next request is due.
-        self.tag = 0.0
+        self.start_tag = 0.0
         self.short: list[Waiter] = []
         self.bulk: list[Waiter] = []
 
@@ -70,9 +73,9 @@
         """Return how many of the customer's requests wait."""
         return len(self.short) + len(self.bulk)
 
-    def capped(self) -> bool:
+    def at_limit(self) -> bool:
         """Tell whether the customer runs as much as it may."""
-        return 0 < self.cap <= self.running
+        return 0 < self.max_running <= self.running
 
     def head(self, short: bool, bulk: bool) -> Waiter | None:
         """Return the oldest waiter of the kinds asked for."""
@@ -80,21 +83,21 @@
         other = self.bulk[0] if bulk and self.bulk else None
         if first is None or other is None:
             return first or other
-        return first if first.number < other.number else other
+        return first if first.arrival < other.arrival else other
 
     def newest(self) -> Waiter:
         """Return the waiter that came last."""
         lasts = [line[-1] for line in (self.short, self.bulk) if line]
-        return max(lasts, key=lambda waiter: waiter.number)
+        return max(lasts, key=lambda waiter: waiter.arrival)
 
 
 class FairQueue:
     """The requests that wait for one service, in fair order."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.size = 0
-        self.size_short = 0
+        self.short_size = 0
         self.arrivals = 0
         self.backlogged: dict[str, Flow] = {}
 
@@ -102,13 +105,13 @@
         """Add a waiter behind those of its customer."""
         flow = waiter.flow
         if not flow.waiting:
-            flow.tag = max(self.virtual, flow.tag)
+            flow.start_tag = max(self.virtual_time, flow.start_tag)
             self.backlogged[flow.customer] = flow
         self.arrivals += 1
-        waiter.number = self.arrivals
+        waiter.arrival = self.arrivals
         (flow.bulk if waiter.bulk else flow.short).append(waiter)
         self.size += 1
-        self.size_short += not waiter.bulk
+        self.short_size += not waiter.bulk
 
     def remove(self, waiter: Waiter) -> bool:
         """Take a waiter out; False when it no longer stands here."""
@@ -118,7 +121,7 @@
             return False
         line.remove(waiter)
         self.size -= 1
-        self.size_short -= not waiter.bulk
+        self.short_size -= not waiter.bulk
         if not flow.waiting:
             del self.backlogged[flow.customer]
         return True
@@ -132,11 +135,11 @@
         heads = (
             flow.head(short, bulk)
             for flow in self.backlogged.values()
-            if not flow.capped()
+            if not flow.at_limit()
         )
         return min(
             (waiter for waiter in heads if waiter is not None),
-            key=lambda waiter: (waiter.flow.tag, waiter.number),
+            key=lambda waiter: (waiter.flow.start_tag, waiter.arrival),
             default=None,
         )
 
@@ -145,15 +148,15 @@
 
         :param cost: the slot time expected, in seconds.
         """
-        self.virtual = max(flow.tag, self.virtual)
-        flow.tag = self.virtual + cost / flow.weight
+        self.virtual_time = max(flow.start_tag, self.virtual_time)
+        flow.start_tag = self.virtual_time + cost / flow.weight
 
     def settle(self, flow: Flow, difference: float) -> None:
         """Charge what a request held its slot longer than expected.
 
         :param difference: in seconds; negative gives back.
         """
-        flow.tag += difference / flow.weight
+        flow.start_tag += difference / flow.weight
 
     def longest(self, newcomer: Flow) -> Flow:
         """Return the flow with the longest queue for its weight.
--- a/carawaystair/admission/gate.py
+++ b/carawaystair/admission/gate.py
@@ -6,8 +6,8 @@
 
 import expression
 
-from carawaystair.admission import estimates
-from carawaystair.admission import flows
+from carawaystair.admission import fair_queue
+from carawaystair.admission import hold_time
 from carawaystair.admission import limiter
 from carawaystair import clock
 from carawaystair import codes
@@ -17,13 +17,13 @@
 # A fractional slot rests between two requests, but no longer than this.
 MAX_REST_S = 5.0
 # Smallest fraction of a slot that a node may use.
-LEAST_LIMIT = 0.02
+MIN_LIMIT = 0.02
 # Little runs when the limit is this many times as high.
-QUIET = 2
+LOW_LOAD_FACTOR = 2
 # Weight of a new sample in the mean number of short requests.
 DEMAND_SMOOTHING = 1 / 64
 # Charged for a request as long as no other has shown its time.
-FIRST_COST_S = 0.05
+INITIAL_COST_S = 0.05
 # Bounds of what callers are told in Retry-After.
 MIN_RETRY_S = 1.0
 MAX_RETRY_S = 30.0
@@ -38,29 +38,37 @@
     :param gate: where it came from.
     :param flow: the customer's flow that it is charged to.
     :param bulk: whether it is a long transfer.
-    :param paced: whether it holds the fractional slot.
-    :param quiet: whether little ran when it began.
+    :param fractional: whether it holds the fractional slot.
+    :param low_load: whether little ran when it began.
     :param cost: slot time charged at its start, in seconds.
     :param started: monotonic time of its start.
     """
 
-    __slots__ = ('bulk', 'cost', 'flow', 'gate', 'paced', 'quiet', 'started')
+    __slots__ = (
+        'bulk',
+        'cost',
+        'flow',
+        'fractional',
+        'gate',
+        'low_load',
+        'started',
+    )
 
     def __init__(
         self,
         gate: 'Gate',
-        flow: flows.Flow,
+        flow: fair_queue.Flow,
         bulk: bool,
-        paced: bool,
-        quiet: bool,
+        fractional: bool,
+        low_load: bool,
         cost: float,
         started: float,
     ) -> None:
         self.gate: Gate | None = gate
         self.flow = flow
         self.bulk = bulk
-        self.paced = paced
-        self.quiet = quiet
+        self.fractional = fractional
+        self.low_load = low_load
         self.cost = cost
         self.started = started
 
@@ -92,7 +100,7 @@
     def __init__(
         self,
         service: str,
-        flow: typing.Callable[[str], flows.Flow],
+        flow: typing.Callable[[str], fair_queue.Flow],
         queue_limit: int,
         report: typing.Callable[[str, str], None],
     ) -> None:
@@ -100,24 +108,24 @@
         self.make_flow = flow
         self.queue_limit = queue_limit
         self.report = report
-        self.flows: dict[str, flows.Flow] = {}
-        self.queue = flows.FairQueue()
-        self.times = {
-            False: estimates.HoldTime(),
-            True: estimates.HoldTime(),
+        self.flows: dict[str, fair_queue.Flow] = {}
+        self.queue = fair_queue.FairQueue()
+        self.hold_times = {
+            False: hold_time.HoldTime(),
+            True: hold_time.HoldTime(),
         }
         # The slots due to this node, and what is used of them.
         self.share = 0.0
         self.limiter: limiter.Limiter | None = None
         self.limit = 0.0
-        self.whole = 0
+        self.whole_slots = 0
         self.running = 0
         self.running_bulk = 0
-        self.running_paced = 0
+        self.running_fractional = 0
         # Short requests that run or wait, in the mean over starts.
         self.short_demand = 0.0
         self.rest_until = 0.0
-        self.alarm: asyncio.TimerHandle | None = None
+        self.rest_timer: asyncio.TimerHandle | None = None
         # Counters for the metrics.
         self.admitted = 0
         self.queued = 0
@@ -132,10 +140,10 @@
         if self.queue.size:
             return None
         now = clock.now()
-        if not self._room(now) or not self._may(bulk):
+        if not self._slot_free(now) or not self._kind_may_start(bulk):
             return None
         flow = self.flows.get(customer) or self.flow(customer)
-        if flow.capped() or self._late(deadline, bulk, now):
+        if flow.at_limit() or self._would_miss_deadline(deadline, bulk, now):
             return None
         return self._start(flow, bulk, now)
 
@@ -154,7 +162,7 @@
             self._abandon(waiter)
             raise
 
-    def flow(self, customer: str) -> flows.Flow:
+    def flow(self, customer: str) -> fair_queue.Flow:
         """Return the flow that a customer's requests are charged to."""
         flow = self.flows.get(customer)
         if flow is None:
@@ -164,35 +172,39 @@
             flow = self.flows.setdefault(flow.customer, flow)
         return flow
 
-    def expected_wait(self, flow: flows.Flow, bulk: bool = False) -> float:
+    def expected_wait(
+        self, flow: fair_queue.Flow, bulk: bool = False
+    ) -> float:
         """Return the seconds until a new request of ``flow`` would start."""
-        mean = self.times[bulk].mean or self.times[not bulk].mean
-        rate = max(self.limit, LEAST_LIMIT) / max(mean, estimates.LEAST_S)
+        mean = self.hold_times[bulk].mean or self.hold_times[not bulk].mean
+        rate = max(self.limit, MIN_LIMIT) / max(mean, hold_time.MIN_S)
         fair = flow.waiting * self.queue.weight(flow) / flow.weight
         return (1 + min(fair, self.queue.size)) / rate
 
     def retry_after(self) -> float:
         """Return when a refused request may be tried again, in seconds."""
-        mean = max(held.mean for held in self.times.values())
-        drain = self.queue.size * mean / max(self.limit, LEAST_LIMIT)
+        mean = max(held.mean for held in self.hold_times.values())
+        drain = self.queue.size * mean / max(self.limit, MIN_LIMIT)
         return min(max(drain, MIN_RETRY_S), MAX_RETRY_S)
 
     def _refusal(
-        self, flow: flows.Flow, deadline: float, bulk: bool, now: float
+        self, flow: fair_queue.Flow, deadline: float, bulk: bool, now: float
     ) -> codes.Failure | None:
         """Return why a request can't even wait, or None."""
         if deadline <= now:
             return self.refuse(codes.DEADLINE_PASSED, flow)
-        if self._late(deadline, bulk, now):
+        if self._would_miss_deadline(deadline, bulk, now):
             return self.refuse(codes.DEADLINE_SHORT, flow)
         start = now + self.expected_wait(flow, bulk)
-        if self.queue.size and start + self.times[bulk].median > deadline:
+        if self.queue.size and start + self.hold_times[bulk].median > deadline:
             return self.refuse(codes.DEADLINE_SHORT, flow)
         if self.queue.size >= self.queue_limit:
             return self._make_room(flow)
         return None
 
-    def _late(self, deadline: float, bulk: bool, now: float) -> bool:
+    def _would_miss_deadline(
+        self, deadline: float, bulk: bool, now: float
+    ) -> bool:
         """Tell whether a request is too late even if it starts now.
 
         While nothing runs it never is: otherwise one bad estimate would
@@ -200,9 +212,9 @@
         """
         if not self.running:
             return deadline <= now
-        return now + self.times[bulk].median >= deadline
+        return now + self.hold_times[bulk].median >= deadline
 
-    def _make_room(self, flow: flows.Flow) -> codes.Failure | None:
+    def _make_room(self, flow: fair_queue.Flow) -> codes.Failure | None:
         """Push out the newest of the longest queue, or refuse.
 
         Dropping from the longest queue (McKenney, 1990) keeps a customer
@@ -217,7 +229,7 @@
         self._fail(victim, codes.CUSTOMER_QUEUE_FULL)
         return None
 
-    def refuse(self, code: codes.Code, flow: flows.Flow) -> codes.Failure:
+    def refuse(self, code: codes.Code, flow: fair_queue.Flow) -> codes.Failure:
         """Count a refusal and return it."""
         count = self.refused.get(code, 0)
         self.refused[code] = count + 1
@@ -229,39 +241,39 @@
     # The queue
 
     def _enqueue(
-        self, flow: flows.Flow, deadline: float, bulk: bool
-    ) -> flows.Waiter:
+        self, flow: fair_queue.Flow, deadline: float, bulk: bool
+    ) -> fair_queue.Waiter:
         loop = asyncio.get_running_loop()
-        waiter = flows.Waiter(flow, bulk, deadline, loop.create_future())
+        waiter = fair_queue.Waiter(flow, bulk, deadline, loop.create_future())
         # From then on it could not finish in time any more.
-        latest = deadline - self.times[bulk].median
+        latest = deadline - self.hold_times[bulk].median
         waiter.timer = loop.call_at(latest, self._expire, waiter)
         self.queue.push(waiter)
         self.queued += 1
         return waiter
 
-    def _expire(self, waiter: flows.Waiter) -> None:
+    def _expire(self, waiter: fair_queue.Waiter) -> None:
         self._fail(waiter, codes.DEADLINE_PASSED)
 
-    def _fail(self, waiter: flows.Waiter, code: codes.Code) -> None:
+    def _fail(self, waiter: fair_queue.Waiter, code: codes.Code) -> None:
         """Give a waiter its final answer."""
-        self._take(waiter)
+        self._dequeue(waiter)
         if not waiter.future.done():
             failure = self.refuse(code, waiter.flow)
             waiter.future.set_result(expression.Error(failure))
 
-    def _take(self, waiter: flows.Waiter) -> None:
+    def _dequeue(self, waiter: fair_queue.Waiter) -> None:
         """Take a waiter out of the queue."""
         self.queue.remove(waiter)
         waiter.timer.cancel()
 
-    def _abandon(self, waiter: flows.Waiter) -> None:
+    def _abandon(self, waiter: fair_queue.Waiter) -> None:
         """Free the place of a caller that went away.
 
         It may have been given a slot just before: that would be lost for
         good if nobody gave it back.
         """
-        self._take(waiter)
+        self._dequeue(waiter)
         future = waiter.future
         if (
             future.done()
@@ -278,24 +290,30 @@
     def dispatch(self) -> None:
         """Start those whose turn it is while there are slots."""
         now = clock.now()
-        while self.queue.size and self._room(now):
-            waiter = self.queue.pick(self._may(False), self._may(True))
+        while self.queue.size and self._slot_free(now):
+            waiter = self.queue.pick(
+                self._kind_may_start(False), self._kind_may_start(True)
+            )
             if waiter is None:
                 return
-            self._take(waiter)
+            self._dequeue(waiter)
             if not waiter.future.done():
                 permit = self._start(waiter.flow, waiter.bulk, now)
                 waiter.future.set_result(expression.Ok(permit))
-        self._wake(now)
+        self._schedule_rest_end(now)
 
-    def _wake(self, now: float) -> None:
+    def _schedule_rest_end(self, now: float) -> None:
         """Come back when the fractional slot has rested."""
-        if self.queue.size and self.rest_until > now and self.alarm is None:
+        if (
+            self.queue.size
+            and self.rest_until > now
+            and self.rest_timer is None
+        ):
             loop = asyncio.get_running_loop()
-            self.alarm = loop.call_at(self.rest_until, self._rested)
+            self.rest_timer = loop.call_at(self.rest_until, self._end_rest)
 
-    def _rested(self) -> None:
-        self.alarm = None
+    def _end_rest(self) -> None:
+        self.rest_timer = None
         self.dispatch()
 
     # Slots
@@ -312,32 +330,34 @@
     def _set_limit(self, factor: float) -> None:
         """Use a multiple of the share, but no less than one slot of it."""
         self.limit = max(self.share * factor, min(self.share, 1.0))
-        self.whole = int(self.limit)
+        self.whole_slots = int(self.limit)
         if self.queue.size:
             self.dispatch()
 
-    def _learn(self, permit: Permit, outcome: str, latency_s: float) -> None:
+    def _update_limit(
+        self, permit: Permit, outcome: str, latency_s: float
+    ) -> None:
         """Let answers show how many slots there truly are."""
         now = clock.now()
         if self.limiter is None:
             self.limiter = limiter.Limiter(now)
         if outcome == interfaces.GOOD:
             waiting = self.queue.size > 0
-            self.limiter.answered(latency_s, permit.quiet, waiting)
+            self.limiter.record_answer(latency_s, permit.low_load, waiting)
         elif outcome == interfaces.SHED:
-            self.limiter.shed()
+            self.limiter.record_shed()
         if self.limiter.due(now):
             self._set_limit(self.limiter.update(now))
 
-    def _room(self, now: float) -> bool:
+    def _slot_free(self, now: float) -> bool:
         """Tell whether a slot is free."""
-        if self.running - self.running_paced < self.whole:
+        if self.running - self.running_fractional < self.whole_slots:
             return True
-        fraction = self.limit - self.whole
-        free = not self.running_paced and now >= self.rest_until
-        return fraction >= LEAST_LIMIT and free
+        fraction = self.limit - self.whole_slots
+        free = not self.running_fractional and now >= self.rest_until
+        return fraction >= MIN_LIMIT and free
 
-    def _may(self, bulk: bool) -> bool:
+    def _kind_may_start(self, bulk: bool) -> bool:
         """Tell whether one more request of this kind may run.
 
         Long transfers would hold every slot for seconds while short queries
@@ -351,24 +371,24 @@
         bound = int(self.limit - max(needed, 1.0))
         return self.running_bulk < max(bound, 1)
 
-    def _start(self, flow: flows.Flow, bulk: bool, now: float) -> Permit:
-        paced = self.running - self.running_paced >= self.whole
-        cost = self.times[bulk].mean or FIRST_COST_S
+    def _start(self, flow: fair_queue.Flow, bulk: bool, now: float) -> Permit:
+        fractional = self.running - self.running_fractional >= self.whole_slots
+        cost = self.hold_times[bulk].mean or INITIAL_COST_S
         self.queue.charge(flow, cost)
-        short = self.running - self.running_bulk + self.queue.size_short
+        short = self.running - self.running_bulk + self.queue.short_size
         self.short_demand += (short - self.short_demand) * DEMAND_SMOOTHING
-        quiet = self.running * QUIET <= self.limit
+        low_load = self.running * LOW_LOAD_FACTOR <= self.limit
         flow.running += 1
         self.running += 1
         self.running_bulk += bulk
-        self.running_paced += paced
+        self.running_fractional += fractional
         self.admitted += 1
-        return Permit(self, flow, bulk, paced, quiet, cost, now)
+        return Permit(self, flow, bulk, fractional, low_load, cost, now)
 
     def finish(self, permit: Permit, outcome: str, latency_s: float) -> None:
         """Take a slot back and give it to the next in turn."""
         held = clock.now() - permit.started
-        times = self.times[permit.bulk]
+        times = self.hold_times[permit.bulk]
         if outcome == interfaces.SHED and times.mean > held:
             # An upstream had no such slot.  Were it free at once, the next
             # in turn would be shed too, and a whole queue within moments.
@@ -377,11 +397,11 @@
         else:
             self._free(permit, held)
         if outcome not in (interfaces.CANCELLED, interfaces.SHED):
-            times.held(held)
+            times.record_hold(held)
         if outcome == interfaces.GOOD:
-            times.answered(latency_s)
+            times.record_answer(latency_s)
         if not permit.bulk:
-            self._learn(permit, outcome, latency_s)
+            self._update_limit(permit, outcome, latency_s)
 
     def _free(self, permit: Permit, held: float) -> None:
         """Give a slot to the next in turn.
@@ -392,14 +412,14 @@
         self.running -= 1
         self.running_bulk -= permit.bulk
         self.queue.settle(permit.flow, held - permit.cost)
-        if permit.paced:
+        if permit.fractional:
             self._rest(held, clock.now())
         if self.queue.size:
             self.dispatch()
 
     def _rest(self, held: float, now: float) -> None:
         """Let the fractional slot rest, so that its mean use is right."""
-        self.running_paced -= 1
-        fraction = max(self.limit - self.whole, LEAST_LIMIT)
+        self.running_fractional -= 1
+        fraction = max(self.limit - self.whole_slots, MIN_LIMIT)
         rest = held * (1 - fraction) / fraction
         self.rest_until = now + min(rest, MAX_REST_S)
--- a/carawaystair/admission/estimates.py
+++ b/carawaystair/admission/hold_time.py
@@ -3,12 +3,12 @@
 # Weight of a new sample in the moving mean.
 SMOOTHING = 1 / 16
 # Step by which the median estimate follows a sample, as a factor.
-STEP = 1.05
+MEDIAN_STEP = 1.05
 # A service that has shown nothing yet is taken to answer in no time: a
 # guess must never refuse work.
-UNKNOWN_S = 0.0
+INITIAL_S = 0.0
 # Least time taken for the mean, so that rates stay finite.
-LEAST_S = 0.0001
+MIN_S = 0.0001
 
 
 class HoldTime:
@@ -22,26 +22,26 @@
     __slots__ = ('mean', 'median')
 
     def __init__(self) -> None:
-        self.mean = UNKNOWN_S
-        self.median = UNKNOWN_S
+        self.mean = INITIAL_S
+        self.median = INITIAL_S
 
-    def held(self, seconds: float) -> None:
+    def record_hold(self, seconds: float) -> None:
         """Take note of how long a slot was held."""
         if not self.mean:
-            self.mean = max(seconds, LEAST_S)
+            self.mean = max(seconds, MIN_S)
             return
         self.mean += (seconds - self.mean) * SMOOTHING
-        self.mean = max(self.mean, LEAST_S)
+        self.mean = max(self.mean, MIN_S)
 
-    def answered(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Take note of the latency of a good answer.
 
         Steps up and down by the same factor leave as many samples above as
         below (stochastic approximation; Robbins and Monro, 1951).
         """
         if not self.median:
-            self.median = max(seconds, LEAST_S)
+            self.median = max(seconds, MIN_S)
         elif seconds > self.median:
-            self.median *= STEP
+            self.median *= MEDIAN_STEP
         else:
-            self.median = max(self.median / STEP, LEAST_S)
+            self.median = max(self.median / MEDIAN_STEP, MIN_S)
--- a/carawaystair/admission/limiter.py
+++ b/carawaystair/admission/limiter.py
@@ -12,7 +12,7 @@
 requests queue inside upstreams measured as none (docs/design/admission.md).
 """
 
-from carawaystair.admission import estimates
+from carawaystair.admission import hold_time
 
 # A window takes at least so many answers and so many seconds.
 WINDOW_ANSWERS = 100
@@ -43,80 +43,89 @@
     """The multiple of its slots that a gate may use.
 
     :ivar factor: that multiple, 1.0 at first.
-    :ivar quiet: latency of requests that began while little ran.
+    :ivar low_load_latency: latency of requests that began while little ran.
     """
 
     __slots__ = (
-        'bound',
+        'saturated',
         'factor',
-        'good',
+        'latencies',
         'hold_until',
-        'quiet',
+        'low_load_latency',
         'sheds',
-        'since',
+        'window_start',
     )
 
     def __init__(self, now: float) -> None:
         self.factor = 1.0
-        self.quiet = estimates.HoldTime()
-        self.since = now
+        self.low_load_latency = hold_time.HoldTime()
+        self.window_start = now
         self.hold_until = now
-        self.good: list[float] = []
+        self.latencies: list[float] = []
         self.sheds = 0
-        self.bound = False
+        self.saturated = False
 
-    def answered(self, latency_s: float, quiet: bool, bound: bool) -> None:
+    def record_answer(
+        self, latency_s: float, low_load: bool, saturated: bool
+    ) -> None:
         """Take note of a good answer.
 
-        :param quiet: whether it began while little ran.
-        :param bound: whether others wait for the limit now.
+        :param low_load: whether it began while little ran.
+        :param saturated: whether others wait for the limit now.
         """
-        self.good.append(latency_s)
-        self.bound = self.bound or bound
-        if quiet:
-            self.quiet.answered(latency_s)
+        self.latencies.append(latency_s)
+        self.saturated = self.saturated or saturated
+        if low_load:
+            self.low_load_latency.record_answer(latency_s)
 
-    def shed(self) -> None:
+    def record_shed(self) -> None:
         """Take note that an upstream refused a request before running it."""
         self.sheds += 1
 
     def due(self, now: float) -> bool:
         """Tell whether the window is full."""
-        answers = len(self.good) + self.sheds
-        return answers >= WINDOW_ANSWERS and now - self.since >= WINDOW_S
+        answers = len(self.latencies) + self.sheds
+        return (
+            answers >= WINDOW_ANSWERS and now - self.window_start >= WINDOW_S
+        )
 
     def update(self, now: float) -> float:
         """Close the window and return the new factor."""
-        sheds = self.sheds / (len(self.good) + self.sheds)
+        sheds = self.sheds / (len(self.latencies) + self.sheds)
         if self.factor > 1.0:
-            self._beyond(now, sheds)
+            self._update_beyond_announced(now, sheds)
         elif sheds > SHED_HIGH:
             self.factor = max(self.factor * DECREASE, FACTOR_MIN)
-        elif self.bound and sheds < SHED_LOW and self.factor < 1.0:
+        elif self.saturated and sheds < SHED_LOW and self.factor < 1.0:
             self.factor = min(self.factor + INCREASE, 1.0)
-        elif self.bound and sheds < SHED_LOW_BEYOND:
+        elif self.saturated and sheds < SHED_LOW_BEYOND:
             self._grow(now)
-        self.since = now
-        self.good.clear()
+        self.window_start = now
+        self.latencies.clear()
         self.sheds = 0
-        self.bound = False
+        self.saturated = False
         return self.factor
 
-    def _beyond(self, now: float, sheds: float) -> None:
+    def _update_beyond_announced(self, now: float, sheds: float) -> None:
         """Go on beyond the announced slots, or come back."""
         if sheds > SHED_HIGH_BEYOND or self._gradient() > GRADIENT_HIGH:
             self.factor = 1.0
             self.hold_until = now + HOLD_S
-        elif self.bound and sheds < SHED_LOW_BEYOND:
+        elif self.saturated and sheds < SHED_LOW_BEYOND:
             self._grow(now)
 
     def _grow(self, now: float) -> None:
-        proven = self.quiet.median and self._gradient() < GRADIENT_LOW
+        proven = (
+            self.low_load_latency.median and self._gradient() < GRADIENT_LOW
+        )
         if proven and now >= self.hold_until:
             self.factor = min(self.factor + INCREASE, FACTOR_MAX)
 
     def _gradient(self) -> float:
         """Return the median of the window over that when little runs."""
-        if not self.good or not self.quiet.median:
+        if not self.latencies or not self.low_load_latency.median:
             return 1.0
-        return sorted(self.good)[len(self.good) // 2] / self.quiet.median
+        return (
+            sorted(self.latencies)[len(self.latencies) // 2]
+            / self.low_load_latency.median
+        )
--- a/test/test_admission_limiter.py
+++ b/test/test_admission_limiter.py
@@ -15,9 +15,9 @@
     """Let one window of answers pass and return the factor."""
     for number in range(limiter.WINDOW_ANSWERS):
         if number < sheds:
-            subject.shed()
+            subject.record_shed()
         else:
-            subject.answered(good, quiet, bound)
+            subject.record_answer(good, quiet, bound)
     return subject.update(now)
 
 
