--- a/carawaystair/admission/gate.py
+++ b/carawaystair/admission/gate.py
@@ -48,8 +48,8 @@
         'bulk',
         'cost',
         'flow',
-        'fractional',
         'gate',
+        'fractional',
         'low_load',
         'started',
     )
--- a/carawaystair/load/crash_suspects.py
+++ b/carawaystair/load/crash_suspects.py
@@ -1,20 +1,20 @@
-"""Which requests are refused because upstreams crash under them.
-
-The load that this answers: a request ends each upstream that runs it, and
-with it all that runs beside it.  It comes again, to any node, and each repeat
-costs an upstream for the seconds of its start.
-
-An upstream that crashes makes suspects of all requests that it was running.
-A request that was running at several crashes of other upstreams is refused
-everywhere.  One that was answered well since is cleared of what is known by
-then, so that sound requests which ran beside it go on being served, also
-those that everybody sends all the time.  A crash of an upstream that had not
-served anything since its start counts only beside a crash of one that had:
-where the upstreams of a service crash whatever they run, no request is at
-fault.
-
-Crashes and clearings are facts that only grow, so that nodes may hear of them
-late, twice and in any order, and still come to know the same.
+"""Requests that are refused because upstreams crash while running them.
+
+A harmful request crashes each upstream that runs it, and all other requests
+that run there fail with it.  Its caller sends it again, to any node, and each
+attempt costs an upstream for the seconds of a restart.
+
+When an upstream crashes, all requests that it was running become suspects.  A
+request that was running at several crashes of different upstreams is refused
+on every host.  A request that succeeds afterwards is cleared of the crashes
+known by then, so that harmless requests that ran beside a harmful one are
+still served, however frequent they are.  A crash of an upstream that had not
+served anything since its start counts only if the request was also running at
+a crash of one that had: where the upstreams of a service crash whatever they
+run, no request is to blame.
+
+Crashes and clearings are facts that are only ever added, so nodes that receive
+them late, repeatedly or in any order reach the same state.
 """
 
 import collections
@@ -22,38 +22,40 @@
 import itertools
 import typing
 
-# Crashes of other upstreams under one request after which it is refused.  Two
-# may be chance: a request that was beside the one at fault is repeated and may
-# meet it again.
+# Crashes of different upstreams after which a request is refused.  Two may be
+# coincidence: a harmless request that ran beside a harmful one is retried and
+# may meet it again.
 CRASH_LIMIT = 3
-# A refused request may be tried again so long after its last crash, seconds;
-# twice as long after each further crash, and after so many of them for long.
+# A refused request may be tried again this long after its last crash, in
+# seconds.  The time doubles with each further crash; after MAX_DOUBLINGS of
+# them it is LONG_HOLD_S.
 HOLD_S = 60.0
 MAX_DOUBLINGS = 3
 LONG_HOLD_S = 3600.0
-# A request that is suspected but not refused is forgotten after so long, and a
-# refused one so long after it may be tried again, seconds.
+# How long a suspect is remembered after its last crash, or after the end of
+# its refusal, in seconds.
 RETENTION_S = 600.0
-# Requests that are known, the part of them that gives way when there are more,
-# and crashes of each.
+# Limits on the suspects kept and on the crashes kept for each.  One suspect in
+# EVICTION_DIVISOR is evicted when there are too many.
 MAX_SUSPECTS = 1024
 EVICTION_DIVISOR = 16
 MAX_CRASHES = 8
-# Requests that ended well lately, and for how long that counts, seconds.
+# Limit on the requests remembered as successful, and for how many seconds a
+# success counts.
 MAX_SUCCESSES = 4096
 SUCCESS_WINDOW_S = 10.0
-# The shortest and the longest text that names a request or an upstream.
+# Maximum length of a digest, of an incarnation and of a request id.
 MAX_NAME_LENGTH = 200
 
 
 class Fact(typing.NamedTuple):
-    """One thing that is known of a request, as it travels.
+    """One crash or clearing of a request, as sent between processes.
 
-    :param digest: names what the request asks for.
-    :param life: names the upstream that crashed, and which start of it.
-    :param age_ms: time since the crash, ms.
-    :param cleared: whether the request is cleared of it.
-    :param request: id of the attempt that ran there.
+    :param digest: identifies the content of the request.
+    :param incarnation: identifies the upstream that crashed and its start.
+    :param age_ms: time since the crash, in milliseconds.
+    :param cleared: whether the request is cleared of the crash.
+    :param request: id of the attempt that was running there.
     :param proven: whether the upstream had served anything since its start.
     """
 
@@ -66,11 +68,11 @@
 
 
 class Crash(typing.NamedTuple):
-    """One crash that a request was part of.
+    """One crash of an upstream that was running a request.
 
-    :param at: monotonic time.
-    :param cleared: whether the request is cleared of it.
-    :param request: id of the attempt that ran there.
+    :param crashed_at: monotonic time in seconds.
+    :param cleared: whether the request is cleared of the crash.
+    :param request: id of the attempt that was running there.
     :param proven: whether the upstream had served anything since its start.
     """
 
@@ -81,15 +83,14 @@
 
 
 class Standing(typing.NamedTuple):
-    """What is known of one request.
+    """Summary of the crashes of one request.
 
-    :param crashes: upstreams that crashed under it, without those that it is
-        cleared of or that are no fault of it.
-    :param cleared: those that it is cleared of.
+    :param crashes: number of crashes the request may be to blame for.
+    :param cleared: number of crashes it is cleared of.
     :param age_s: seconds since the last of ``crashes``; 0 without any.
-    :param refused_s: seconds for which it is still refused; 0 when it is not.
-    :param lives: the upstreams of ``crashes``.
-    :param request: id of the attempt at the last of them.
+    :param refused_s: seconds for which it is still refused, 0 when it is not.
+    :param incarnations: the upstream incarnations of ``crashes``.
+    :param request: id of the attempt at the last of ``crashes``.
     """
 
     crashes: int = 0
@@ -104,10 +105,10 @@
 
 
 class Suspects:
-    """The requests that upstreams crashed under, as one process knows them.
+    """Requests that were running at upstream crashes, as one process knows.
 
-    :param limit: crashes after which a request is refused.
-    :param hold_s: seconds for which it is.
+    :param limit: number of crashes after which a request is refused.
+    :param hold_s: seconds for which it is refused at first.
     """
 
     def __init__(
@@ -115,46 +116,52 @@
     ) -> None:
         self.limit = limit
         self.hold_s = hold_s
-        # By digest, then by the upstream that crashed.
+        # By digest, then by the incarnation that crashed.
         self.crashes: dict[str, dict[str, Crash]] = {}
-        # When each request last ended well at this process.
+        # Monotonic time of the last success of a request at this process, by
+        # digest.
         self.succeeded_at: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def standing(self, digest: str, now: float) -> Standing:
-        """Return what is known of a request."""
+        """Return the standing of a request."""
         known = self.crashes.get(digest)
         if known is None:
             return UNKNOWN
-        held = _blaming(known)
+        blaming = _blaming(known)
         cleared = sum(crash.cleared for crash in known.values())
-        if not held:
+        if not blaming:
             return Standing(0, cleared)
-        last = max(held.values())
-        refused_s = max(last.crashed_at + self._hold_s(len(held)) - now, 0.0)
+        last = max(blaming.values())
+        refused_s = max(
+            last.crashed_at + self._hold_s(len(blaming)) - now, 0.0
+        )
         return Standing(
-            len(held),
+            len(blaming),
             cleared,
             now - last.crashed_at,
             refused_s,
-            tuple(held),
+            tuple(blaming),
             last.request,
         )
 
     def refuses(self, digest: str, now: float) -> bool:
-        """Tell whether a request is not to reach an upstream."""
+        """Return whether a request must not reach an upstream."""
         if digest not in self.crashes:
             return False
         return self.standing(digest, now).refused_s > 0
 
     def on_trial(self, digest: str) -> bool:
-        """Tell whether a request may run only to show how it does now."""
+        """Return whether a request reached the crash limit.
+
+        Once its refusal has ended, it may run only as a trial.
+        """
         known = self.crashes.get(digest)
         return known is not None and len(_blaming(known)) >= self.limit
 
     def add(self, fact: Fact, now: float) -> bool:
-        """Take in a fact; tell whether it is news."""
+        """Add a fact; return whether it is new and was kept."""
         if (
             not _well_formed(fact)
             or fact.age_ms / 1000 > self._max_retention_s()
@@ -164,27 +171,33 @@
         old = known.get(fact.incarnation)
         if old is not None and (old.cleared or not fact.cleared):
             return False
-        at = now - fact.age_ms / 1000 if old is None else old.crashed_at
+        crashed_at = (
+            now - fact.age_ms / 1000 if old is None else old.crashed_at
+        )
         known[fact.incarnation] = Crash(
-            at, fact.cleared, fact.request, fact.proven
+            crashed_at, fact.cleared, fact.request, fact.proven
         )
         return self._evict(fact, known)
 
     def crash_facts(
-        self, life: str, requests: typing.Mapping[str, str], proven: bool
+        self,
+        incarnation: str,
+        requests: typing.Mapping[str, str],
+        proven: bool,
     ) -> tuple[Fact, ...]:
-        """Return the facts of a crash.
+        """Return the facts of a crash, without adding them.
 
-        :param requests: ids of what the upstream was running, by digest.
+        :param incarnation: identifies the upstream that crashed and its start.
+        :param requests: ids of the requests it was running, by digest.
         :param proven: whether it had served anything since its start.
         """
         return tuple(
-            Fact(digest, life, 0, False, request, proven)
+            Fact(digest, incarnation, 0, False, request, proven)
             for digest, request in requests.items()
         )
 
     def record_success(self, digest: str, now: float) -> tuple[Fact, ...]:
-        """Take note of a good answer; return what it clears a request of."""
+        """Record a success; return the facts that clear the request."""
         self.succeeded_at.pop(digest, None)
         self.succeeded_at[digest] = now
         if len(self.succeeded_at) > MAX_SUCCESSES:
@@ -192,14 +205,14 @@
         return self.clearing_facts(digest, now)
 
     def recently_succeeded(self, digest: str, now: float) -> bool:
-        """Tell whether a request ended well at this process of late."""
+        """Return whether a request succeeded here within SUCCESS_WINDOW_S."""
         return (
             now - self.succeeded_at.get(digest, -SUCCESS_WINDOW_S)
             < SUCCESS_WINDOW_S
         )
 
     def clearing_facts(self, digest: str, now: float) -> tuple[Fact, ...]:
-        """Return the facts that clear a request of all that is known."""
+        """Return facts that clear a request of all its known crashes."""
         return tuple(
             fact._replace(cleared=True)
             for fact in self.facts(digest, now)
@@ -207,29 +220,29 @@
         )
 
     def facts(self, digest: str, now: float) -> typing.Iterator[Fact]:
-        """Yield what is known of a request, as it travels."""
-        for life, crash in self.crashes.get(digest, {}).items():
+        """Yield the facts known of a request."""
+        for incarnation, crash in self.crashes.get(digest, {}).items():
             age_ms = int((now - crash.crashed_at) * 1000)
-            yield Fact(digest, life, age_ms, *crash[1:])
+            yield Fact(digest, incarnation, age_ms, *crash[1:])
 
     def all_facts(self, now: float) -> list[Fact]:
-        """Return all that is known, as it travels."""
-        found = (self.facts(digest, now) for digest in self.crashes)
-        return list(itertools.chain.from_iterable(found))
+        """Return the facts known of all requests."""
+        facts = (self.facts(digest, now) for digest in self.crashes)
+        return list(itertools.chain.from_iterable(facts))
 
     def expire(self, now: float) -> list[str]:
-        """Forget what is too old; return the digests."""
-        old = [
+        """Remove suspects past their retention; return their digests."""
+        expired = [
             digest
             for digest, known in self.crashes.items()
             if now - max(known.values()).crashed_at > self._retention_s(known)
         ]
-        for digest in old:
+        for digest in expired:
             del self.crashes[digest]
-        return old
+        return expired
 
     def _hold_s(self, crashes: int) -> float:
-        """Return for how long a request is refused, from its last crash."""
+        """Return how long after its last crash a request is refused."""
         further = crashes - self.limit
         if further < 0:
             return 0.0
@@ -244,17 +257,17 @@
         return RETENTION_S + self._hold_s(MAX_CRASHES)
 
     def _evict(self, fact: Fact, known: dict[str, Crash]) -> bool:
-        """Drop what says least; tell whether a new fact stayed.
+        """Enforce the limits; return whether a new fact was kept.
 
-        All processes drop in the same order, so that none takes again and
-        passes on for ever what another one has dropped.
+        All processes evict in the same order.  Otherwise one would accept and
+        forward again what another has evicted, without end.
         """
         if len(known) > MAX_CRASHES:
             del known[
                 min(known, key=lambda n: (not known[n].cleared, known[n]))
             ]
         if len(self.crashes) > MAX_SUSPECTS:
-            # Many at once: finding the least takes a look at all.
+            # Evicts many at once, since finding the least scans all suspects.
             count = max(MAX_SUSPECTS // EVICTION_DIVISOR, 1)
             least = heapq.nsmallest(
                 count, self.crashes, key=self._eviction_order
@@ -264,18 +277,24 @@
         return fact.incarnation in self.crashes.get(fact.digest, {})
 
     def _eviction_order(self, digest: str) -> tuple[int, float]:
-        """Return what orders the requests that are known."""
+        """Return the sort key of a suspect; the least is evicted first."""
         known = self.crashes[digest]
         return len(_blaming(known)), max(known.values()).crashed_at
 
 
 def _blaming(known: dict[str, Crash]) -> dict[str, Crash]:
-    """Return the crashes that a request may be at fault for, by upstream."""
-    held = {life: crash for life, crash in known.items() if not crash.cleared}
-    return held if any(crash.proven for crash in held.values()) else {}
+    """Return the crashes a request may be to blame for, by incarnation."""
+    uncleared = {
+        incarnation: crash
+        for incarnation, crash in known.items()
+        if not crash.cleared
+    }
+    return (
+        uncleared if any(crash.proven for crash in uncleared.values()) else {}
+    )
 
 
 def _well_formed(fact: Fact) -> bool:
     names = (fact.digest, fact.incarnation)
-    fine = all(0 < len(name) <= MAX_NAME_LENGTH for name in names)
-    return fine and fact.age_ms >= 0 and len(fact.request) <= MAX_NAME_LENGTH
+    valid = all(0 < len(name) <= MAX_NAME_LENGTH for name in names)
+    return valid and fact.age_ms >= 0 and len(fact.request) <= MAX_NAME_LENGTH
--- a/carawaystair/load/nested_calls.py
+++ b/carawaystair/load/nested_calls.py
@@ -1,13 +1,13 @@
-"""Pays for the calls of repeated runs before the runs begin.
-
-A run that is itself a repeat makes its calls once more, and these count as
-repeats at the service that is called.  Where a service that earns many
-repeats calls one that earns few, the calls alone would break the bound of the
-second one.  So the gateway learns how many calls its upstreams make, and pays
-for them before a repeat begins, from what the calls of its host earn.  What
-that does not cover takes from the slack of the called service as it arrives
-there, where all that call it share one slack.  Once a call was refused there,
-repeats that can't be paid for don't begin for a while.
+"""Takes the calls of a retried run from the retry budget before it begins.
+
+A retried run makes its calls to other services once more, and these count as
+retries there.  Where a service that earns many retries calls one that earns
+few, these calls alone would exceed the retry budget of the called service.  So
+the gateway learns how many calls its upstreams make, and takes them from the
+retries that the calls of its host have earned before a retried run begins.
+Calls that are not covered take from the slack of the called service when they
+arrive there; all its callers share that slack.  Once a call was refused there,
+retried runs whose calls can't be prepaid don't begin for a while.
 """
 
 import collections
@@ -16,20 +16,21 @@
 
 from carawaystair.load import retry_budget
 
-# No run begins for so long, seconds, that rests on a slack that was spent.
+# After a call was refused for lack of slack, seconds during which no run
+# begins that would depend on that slack.
 REFUSAL_PAUSE_S = 2.0
-# Calls that fewer runs make than this share are not paid for in advance.
+# Calls per run up to which a call is not prepaid.
 MIN_CALL_SHARE = 0.05
-# Counts are halved once so many runs were seen, so that they follow changes.
+# Counts are halved at this number of runs, so that they follow changes.
 MAX_RUNS = 512
 
 
 class PrepaidCall(typing.NamedTuple):
-    """A call that was paid for and not made yet.
+    """A call that was taken from a budget and not made yet.
 
-    :param service: the service that is called.
-    :param budget: what it was taken from.
-    :param at: when it was taken.
+    :param service: the service to be called.
+    :param budget: the budget it was taken from.
+    :param taken_at: monotonic time at which it was taken, in seconds.
     """
 
     service: str
@@ -38,7 +39,7 @@
 
 
 class CallCounts:
-    """How many calls the runs of each service make."""
+    """Number of calls that the runs of each service make."""
 
     def __init__(self) -> None:
         self.runs: collections.Counter = collections.Counter()
@@ -49,18 +50,18 @@
         self.runs[service] += 1
         if self.runs[service] >= MAX_RUNS:
             self.runs[service] //= 2
-            halved = self.calls.get(service, {})
+            calls = self.calls.get(service, {})
             self.calls[service] = collections.Counter(
-                {name: count / 2 for name, count in halved.items()}
+                {name: count / 2 for name, count in calls.items()}
             )
 
-    def record_call(self, service: str, other: str) -> None:
-        """Count a call that a run of a service made to another one."""
+    def record_call(self, service: str, called: str) -> None:
+        """Count a call that a run of a service made to another service."""
         calls = self.calls.setdefault(service, collections.Counter())
-        calls[other] += 1
+        calls[called] += 1
 
     def expected_calls(self, service: str) -> dict[str, int]:
-        """Return the calls to expect of one run, by the service called."""
+        """Return the expected calls of one run, by the called service."""
         runs = max(self.runs[service], 1)
         shares = {
             name: count / runs
@@ -74,25 +75,26 @@
 
 
 class NestedCallBudget:
-    """Takes calls of repeated runs out of the bound of the called services.
+    """Takes the calls of retried runs from the budgets of called services.
 
-    :param budgets: the repeats that the calls of this host earn.
+    :param budgets: the retries that the calls of this host have earned.
     """
 
     def __init__(self, budgets: retry_budget.Budgets) -> None:
         self.budgets = budgets
         self.counts = CallCounts()
-        # By request, what was paid and not used yet.
-        self.paid: dict[str, list[PrepaidCall]] = {}
-        # Services that had no repeats left, and when that was.
+        # Calls that were prepaid and not made yet, by request.
+        self.prepaid: dict[str, list[PrepaidCall]] = {}
+        # Monotonic time of the last refusal for lack of slack, by service.
         self.refused_at: dict[str, float] = {}
 
     def prepay(self, request: str, service: str, now: float) -> bool:
-        """Pay for the calls of a repeat that is about to run.
+        """Take the calls of a retried run that is about to begin.
 
-        :param request: its id.
+        :param request: id of the request.
         :param service: the service that runs it.
-        :return: whether it may begin; otherwise nothing is paid.
+        :param now: monotonic time in seconds.
+        :return: whether it may begin; if not, nothing is taken.
         """
         taken: list[PrepaidCall] = []
         for called, count in self.counts.expected_calls(service).items():
@@ -104,32 +106,37 @@
                     _refund(taken)
                     return False
         if taken:
-            self.paid.setdefault(request, []).extend(taken)
+            self.prepaid.setdefault(request, []).extend(taken)
         return True
 
     def _slack_expected(self, service: str, now: float) -> bool:
         return now - self.refused_at.get(service, -math.inf) >= REFUSAL_PAUSE_S
 
     def record_refusal(self, service: str, now: float) -> None:
-        """Take note that a call found no slack at the called service."""
+        """Record that a call was refused for lack of slack.
+
+        :param service: the called service.
+        :param now: monotonic time in seconds.
+        """
         self.refused_at[service] = now
 
     def use_prepaid(self, request: str, service: str) -> bool:
-        """Use one of the calls paid for; tell whether there was one.
+        """Use a prepaid call; return whether there was one.
 
-        :param request: the running request that makes the call.
+        :param request: id of the running request that makes the call.
+        :param service: the called service.
         """
-        prepaid = self.paid.get(request, [])
-        found = [one for one in prepaid if one.service == service]
+        prepaid = self.prepaid.get(request, [])
+        found = [call for call in prepaid if call.service == service]
         if found:
             prepaid.remove(found[0])
         return bool(found)
 
     def refund_unused(self, request: str) -> None:
-        """Give back what was paid for calls that a run did not make."""
-        _refund(self.paid.pop(request, []))
+        """Refund the prepaid calls that a finished run did not make."""
+        _refund(self.prepaid.pop(request, []))
 
 
 def _refund(taken: typing.Iterable[PrepaidCall]) -> None:
-    for one in taken:
-        one.budget.refund(one.taken_at)
+    for call in taken:
+        call.budget.refund(call.taken_at)
--- a/carawaystair/load/pacing.py
+++ b/carawaystair/load/pacing.py
@@ -1,15 +1,15 @@
-"""How fast long bodies may leave a host, and which of them goes next.
-
-The load that this answers: several answers of 90 KB are ready at once on a
-host whose link carries 600 KB a second.  Written as soon as they are ready,
-all of them share the link and are late together, and every short message of
-the host, a sign of life or a vote, waits for a second behind them.
-
-So no more stands on the link than it carries in a moment.  What is short goes
-at once.  Long bodies wait for their turn, in parts, and the one that is due
-first goes first: it is due after twice the time that it takes by itself, so
-that equals go in the order in which they came, a short one passes a long one,
-and a long one waits only for those that came little later.
+"""Pacing of long bodies on the link of a host, and their order.
+
+Several answers of 90 KB may be ready at once on a host whose link carries
+600 KB a second.  If all were written at once, they would share the link and
+all be late, and every short message of the host, such as a heartbeat or a
+vote, would wait behind them for a second.
+
+So no more is written than the link carries in a moment.  Short messages are
+sent at once.  Long bodies are sent in chunks, and the one with the earliest
+due time goes first.  A body is due after twice the time that it takes alone.
+So bodies of one size go in order of arrival, a short body overtakes a long
+one, and a long body waits only for those that arrive shortly after it.
 """
 
 import heapq
@@ -17,26 +17,26 @@
 import math
 import typing
 
-# Long bodies get this share of a link: the rest is for what is short, and for
-# headers of packets.
+# Share of the link for long bodies; the rest is left to short messages and
+# packet headers.
 LINK_SHARE = 0.9
-# What they may have on the link at a time, seconds of its rate.  A sign of
-# life is late after 0.15 s; a wake-up for each kilobyte would cost more
-# processor time than what it saves.  As much may be made up for when a turn
-# is given late, so a short message waits for twice as long at most.
+# Size of a chunk, in seconds of the link's rate.  Heartbeats are late after
+# 0.15 s; waking up for each kilobyte would cost more processor time than it
+# saves.  As much may be caught up after a chunk that started late, so a short
+# message waits for at most twice as long.
 CHUNK_S = 0.02
-# A message up to this length goes at once.
+# Messages up to this size are sent at once.
 SHORT_BYTES = 8 * 1024
-# A body is due after so many times the time that it takes by itself.
+# A body is due after this multiple of the time that it takes alone.
 DUE_FACTOR = 2.0
 BYTES_PER_S_PER_MBPS = 1e6 / 8
 
 
 class QueuePosition(typing.NamedTuple):
-    """The place of a body among those that wait.
+    """The sort key of a body among those that wait.
 
-    :param due: monotonic time at which it is due.
-    :param number: tells it from others; grows with each.
+    :param due: monotonic time at which it is due, in seconds.
+    :param number: unique, in order of arrival.
     """
 
     due: float
@@ -44,10 +44,10 @@
 
 
 class QueuedBody:
-    """A body that waits for its turn.
+    """A body that waits to send its next chunk.
 
-    :param position: its position.
-    :param size: bytes that it has to send.
+    :param position: its sort key.
+    :param size: bytes that remain to be sent.
     """
 
     __slots__ = ('cancelled', 'position', 'size')
@@ -55,7 +55,6 @@
     def __init__(self, position: QueuePosition, size: int) -> None:
         self.position = position
         self.size = size
-        # Whether it waits no more.
         self.cancelled = False
 
     def __lt__(self, other: 'QueuedBody') -> bool:
@@ -63,45 +62,46 @@
 
 
 class PacedLink:
-    """The link of a host, as long bodies use it.
+    """The part of a host's link that long bodies may use.
 
-    :param mbps: what it carries, Mbit/s.
+    :param mbps: rate of the whole link, in Mbit/s.
     """
 
     def __init__(self, mbps: float) -> None:
         self.bytes_per_s = LINK_SHARE * mbps * BYTES_PER_S_PER_MBPS
         self.chunk = max(int(self.bytes_per_s * CHUNK_S), 1)
-        # When all that was let go has left.
+        # Monotonic time at which all chunks taken so far will have been sent.
         self.free_at = -math.inf
         self.waiting: list[QueuedBody] = []
         self.sequence = itertools.count()
 
     def queue_position(self, size: int, now: float) -> QueuePosition:
-        """Return the place of a body that is ready now.
+        """Return the position of a body that is ready now.
 
-        It keeps it from its first part to its last: equals that are ready at
-        one moment would share the link otherwise, and all be late.
+        A body keeps its position from the first chunk to the last.  Otherwise
+        bodies of one size that are ready at the same time would share the
+        link, and all be late.
         """
         due = now + DUE_FACTOR * size / self.bytes_per_s
         return QueuePosition(due, next(self.sequence))
 
     def wait_s(self, now: float) -> float:
-        """Return how long it is until the next one may go, in seconds."""
+        """Return the seconds until the next chunk may be sent."""
         return max(self.free_at - now, 0.0)
 
     def backlog_s(self, now: float) -> float:
-        """Return what all that waits now needs of the link, in seconds."""
-        size = sum(turn.size for turn in self.waiting if not turn.cancelled)
+        """Return the seconds the link needs for all bodies that wait."""
+        size = sum(body.size for body in self.waiting if not body.cancelled)
         return self.wait_s(now) + size / self.bytes_per_s
 
-    def enqueue(self, place: QueuePosition, size: int) -> QueuedBody:
-        """Let a body wait for its turn."""
-        turn = QueuedBody(place, size)
-        heapq.heappush(self.waiting, turn)
-        return turn
+    def enqueue(self, position: QueuePosition, size: int) -> QueuedBody:
+        """Add a body that waits for its next chunk."""
+        body = QueuedBody(position, size)
+        heapq.heappush(self.waiting, body)
+        return body
 
     def pop_due(self, now: float) -> QueuedBody | None:
-        """Take the next body whose turn has come, if there is one."""
+        """Remove and return the next body, or None if none may send now."""
         while self.waiting and self.waiting[0].cancelled:
             heapq.heappop(self.waiting)
         if not self.waiting or self.wait_s(now) > 0.0:
@@ -109,12 +109,16 @@
         return heapq.heappop(self.waiting)
 
     def take_chunk(self, size: int, now: float) -> int:
-        """Take room for a part of a body; return how many bytes it has."""
+        """Reserve the link for a chunk; return its size in bytes.
+
+        :param size: bytes that remain to be sent.
+        :param now: monotonic time in seconds.
+        """
         count = min(size, self.chunk)
         begins = max(self.free_at, now - CHUNK_S)
         self.free_at = begins + count / self.bytes_per_s
         return count
 
     def refund(self, count: int) -> None:
-        """Give room back that was taken and not used."""
+        """Return bytes that were reserved and not sent."""
         self.free_at -= count / self.bytes_per_s
--- a/carawaystair/load/request_value.py
+++ b/carawaystair/load/request_value.py
@@ -1,37 +1,38 @@
-"""What it is worth to send a request to an upstream.
+"""The expected value of sending a request to an upstream.
 
-The load that this answers: some upstreams are free and likely to fail, others
-are sound and have queues.  Neither alone decides: while there is time, work
-that may run once waits some milliseconds for a sound upstream rather than
-meet a gray one; when the queues are longer than its goal, it is better tried.
-So every choice, at a caller's node and at the gateway, is by one figure: the
-chance of an answer, times what an answer is worth at the time at which it
-should come.
+Some upstreams have free slots but are likely to fail, others are healthy but
+have queues.  Neither decides alone.  While there is time, a request that may
+run only once is better queued for some milliseconds at a healthy upstream
+than sent to a gray one; when the queues are longer than its goal, it is better
+sent to the gray one.  So every choice, at a node and at a gateway, compares
+one number: the probability of an answer times the value of an answer at the
+time it is expected.
 """
 
 import typing
 
-# An answer after its goal is worth this part of one in time.
+# Value of an answer after the goal, where one in time has up to 1.
 LATE_VALUE = 0.3
-# What an answer loses on the way to its goal, as a part of its worth: of two
-# that are both in time the earlier one is better.
+# Value that an answer loses by the time of its goal: of two answers in time,
+# the earlier one is worth more.
 EARLINESS_SHARE = 0.15
-# Service times vary by half of their mean: an answer that should come before
-# the first of these parts of its time is in time, one after the second late.
+# Service times vary by half of their mean, so an answer expected before
+# SURELY_IN_TIME of the time to the goal counts as in time, and one expected
+# after HARDLY_IN_TIME of it as late.
 SURELY_IN_TIME = 0.7
 HARDLY_IN_TIME = 1.3
-# A request that failed is worth this part of what it would be worth at the
-# best upstream now: the time has passed, and that one may have turned gray.
+# Value of a request after a failure, as a share of its value at the best
+# upstream now: time has passed, and that upstream may have turned gray.
 RETRY_VALUE_SHARE = 0.9
 
 
 class Need(typing.NamedTuple):
-    """What a request needs now.
+    """What a request needs, relative to the present time.
 
-    :param goal_s: time until which its answer is worth most, seconds.
-    :param left_s: time until its answer is owed, seconds.
-    :param last: whether it can't be sent once more if it fails.
-    :param again: what it is worth if it fails and is sent once more, 0 to 1.
+    :param goal_s: seconds until the value of its answer drops.
+    :param remaining_s: seconds until its answer is due.
+    :param final: whether it can't be retried if it fails.
+    :param retry_value: its value after a failure, 0 to 1.
     """
 
     goal_s: float
@@ -41,10 +42,14 @@
 
 
 def answer_value(answer_s: float, need: Need) -> float:
-    """Return what an answer in so many seconds is worth, 0 to 1."""
+    """Return the value of an answer, 0 to 1.
+
+    :param answer_s: seconds until the answer.
+    :param need: the needs of the request.
+    """
     if answer_s >= need.remaining_s:
         return 0.0
-    soon = 1.0 - EARLINESS_SHARE
+    in_time_value = 1.0 - EARLINESS_SHARE
     surely_s, hardly_s = (
         SURELY_IN_TIME * need.goal_s,
         HARDLY_IN_TIME * need.goal_s,
@@ -53,8 +58,9 @@
         return 1.0 - EARLINESS_SHARE * answer_s / surely_s
     if answer_s <= hardly_s:
         passed = (answer_s - surely_s) / (hardly_s - surely_s)
-        return soon + passed * (LATE_VALUE - soon)
-    # Later than late: what may still go wrong grows until the deadline.
+        return in_time_value + passed * (LATE_VALUE - in_time_value)
+    # The later a late answer is expected, the more likely it misses the
+    # deadline.
     late_s = max(hardly_s, 0.0)
     return (
         LATE_VALUE
@@ -63,11 +69,16 @@
     )
 
 
-def expected_value(failing: float, answer_s: float, need: Need) -> float:
-    """Return what it is worth to send a request to an upstream, 0 to 1.
+def expected_value(
+    failure_probability: float, answer_s: float, need: Need
+) -> float:
+    """Return the expected value of sending a request to an upstream, 0 to 1.
 
-    :param failing: how likely it fails there.
-    :param answer_s: seconds until an answer should come, the wait included.
+    :param failure_probability: that the request fails there.
+    :param answer_s: expected seconds until an answer, including the wait.
+    :param need: the needs of the request.
     """
-    again = 0.0 if need.final else need.retry_value
-    return (1.0 - failing) * answer_value(answer_s, need) + failing * again
+    retry_value = 0.0 if need.final else need.retry_value
+    return (1.0 - failure_probability) * answer_value(
+        answer_s, need
+    ) + failure_probability * retry_value
--- a/carawaystair/load/retry_after.py
+++ b/carawaystair/load/retry_after.py
@@ -1,24 +1,24 @@
-"""When a rejected caller should come back.
+"""When a rejected caller should send its request again.
 
-The load that this answers: many callers are rejected in the same second.  If
-all were told the same time they would return together and meet the same full
-upstreams.  The time is therefore what the backlog needs, spread by chance
-over as long again.
+Many callers may be rejected in the same second.  If all were given the same
+time, they would return together and meet the same full upstreams.  The time is
+therefore the time to drain the backlog, multiplied by a random factor from 1
+to 2.
 """
 
 import random
 
-# No caller is sent away for less, seconds: a round trip and one short
-# request take about as long.
+# Minimum in seconds: about a round trip and one short request.
 MIN_S = 0.2
-# Nor for longer where the backlog is not known.
+# Maximum before the random factor, in seconds: the backlog may be unknown.
 MAX_S = 5.0
 
 
 def retry_after_s(backlog_s: float, rng: random.Random) -> float:
     """Return after how many seconds a rejected caller should return.
 
-    :param backlog_s: time until the least loaded upstream has a free slot.
+    :param backlog_s: seconds until the least loaded upstream has a free slot.
+    :param rng: source of randomness.
     """
     base = min(max(backlog_s, MIN_S), MAX_S)
     return base * rng.uniform(1.0, 2.0)
--- a/carawaystair/load/retry_budget.py
+++ b/carawaystair/load/retry_budget.py
@@ -1,52 +1,51 @@
-"""How many repeats of requests may reach the upstreams of a service.
-
-The load that this answers: all upstreams of a service fail or shed, and every
-request is sent again; the load doubles and keeps them failing.  The bound
-holds for the fleet: repeats stay within a share of the first sends and a
-slack.  Nobody asks another one.  Each node has the share of the requests that
-its own callers send, where repeats begin; each gateway has an equal part of
-the slack, for those whose node has none left.  So the sum keeps the bound
-whatever they know of each other, and no part lies where it is not needed:
-repeats of a whole service go to the few gateways whose upstreams are sound.
-
-In a large fleet each part is a few repeats, or a fraction of one.  Fractions
-are rounded up or down at random, so that the parts add up to the whole.
-
-A gateway that has just started knows neither what its former process spent
-nor how many share the slack.  So a part is small enough that it and what is
-spent once more in the first window after a start stay within the slack, also
-where all gateways start at once; and what a gateway may spend in its first
-moments does not rest on how many others it knows.
+"""Limit on the retries that reach the upstreams of a service.
+
+When all upstreams of a service fail or shed and every request is retried, the
+load doubles and keeps them failing.  The limit holds for the whole fleet:
+retries stay within a ratio of the first sends plus a slack.  It needs no
+communication.  Each node may use the ratio of the first sends of its own
+callers, where retries begin; each gateway has an equal part of the slack, for
+retries whose node has nothing left.  The sum keeps the limit whatever the
+processes know of each other, and no part is allotted where it can't be used:
+all retries of a service may go to the few gateways with healthy upstreams.
+
+In a large fleet each part is a few retries, or a fraction of one.  Fractions
+are rounded up or down pseudo-randomly, so that the parts add up to the whole.
+
+A gateway that has just started knows neither what its previous process used
+nor how many gateways share the slack.  So the parts are small enough that
+their use before and after a restart stays within the slack, even if all
+gateways restart at once, and what a gateway may use right after its start does
+not depend on how many others it knows.
 """
 
 import collections
 import hashlib
 import math
 
-# The parts of the bound that are used: of the share of first sends, which a
-# node sees as its callers send them, and of the slack, by the gateways of a
-# service.
+# Shares of the limit that are allotted: of the ratio of first sends, to the
+# nodes that count them, and of the slack, to the gateways of a service.
 USED_SHARE = 0.95
 USED_SLACK = 0.52
-# Counts are kept by spans of this length, in seconds.
+# Length of a counting interval in seconds.
 SPAN_S = 0.5
 ROUNDING_BYTES = 4
-# The share of its part that a gateway may use in the first window after its
-# start: USED_SLACK * (1 + FIRST_SHARE) of it are spent at worst around a start
-# of all.  What is left is for parts rounded up.
+# Share of its part that a gateway may use in the first window after its start.
+# At worst USED_SLACK * (1 + RESTART_SHARE) of the slack is used around a
+# restart of all gateways; the rest is for parts that are rounded up.
 RESTART_SHARE = 0.75
-# A gateway that starts reckons with so many others that share the slack, since
-# it may know none of them yet.
+# Number of gateways a starting gateway assumes to share the slack at first,
+# since it may not know any of them yet.
 ASSUMED_NODES = 12
 
 
 class Budget:
-    """The repeats of one service at one node.
+    """The retries of one service at one node or gateway.
 
-    :param ratio: repeats as a share of first sends.
-    :param slack: repeats beyond it in one window, of the whole fleet.
-    :param window_s: length of the window.
-    :param rounding: what is added before a fraction is cut off, 0 to 1.
+    :param ratio: retries per first send.
+    :param slack: further retries of the whole fleet in one window.
+    :param window_s: length of the window in seconds.
+    :param rounding: added before a fraction is cut off, 0 to 1.
     :param began: monotonic time at which this process began to count.
     """
 
@@ -78,7 +77,7 @@
         self.began = began
         self.first_sends: collections.deque = collections.deque()
         self.retries: collections.deque = collections.deque()
-        # For metrics.
+        # Counters for metrics.
         self.total_first_sends = 0
         self.total_retries = 0
         self.refused = 0
@@ -89,30 +88,31 @@
         _add(self.first_sends, now)
 
     def allows_retry(self, now: float, nodes: int) -> bool:
-        """Tell whether one more repeat stays within the bound.
+        """Return whether one more retry is within the budget.
 
-        :param nodes: nodes that share the slack.
+        :param now: monotonic time in seconds.
+        :param nodes: number of gateways that share the slack.
         """
         _drop_before(self.first_sends, now - self.window_s)
-        # A span of repeats counts until all of it has passed.
+        # An interval of retries counts until all of it is out of the window.
         _drop_before(self.retries, now - self.window_s - SPAN_S)
         earned = USED_SHARE * self.ratio * _sum(self.first_sends)
         return _sum(self.retries) + 1 <= earned + self._slack_part(now, nodes)
 
     def _slack_part(self, now: float, nodes: int) -> float:
-        """Return what this part of the slack allows in a window."""
+        """Return the retries in a window that come from the slack."""
         used = USED_SLACK * self.slack
         part = used / max(nodes, 1)
         age = (now - self.began) / self.window_s
         if age >= 1.0:
             return part + self.rounding
-        # Rounded together with what the former process may have spent.
+        # Rounded together with what the previous process may have used.
         spent = math.floor(part + self.rounding)
         most = math.floor((1 + RESTART_SHARE) * part + self.rounding) - spent
         return min(most, used / ASSUMED_NODES + age * part + self.rounding)
 
     def take_retry(self, now: float, nodes: int) -> bool:
-        """Take one repeat from the budget; tell whether there was one."""
+        """Take one retry; return whether the budget allowed it."""
         if not self.allows_retry(now, nodes):
             self.refused += 1
             return False
@@ -121,25 +121,28 @@
         return True
 
     def refund(self, taken_at: float) -> None:
-        """Put back a repeat that was taken: it reached nobody.
+        """Return a retry that was taken and reached no upstream.
 
-        :param taken_at: when it was taken.  One that was taken since stays
+        :param taken_at: monotonic time at which it was taken, in seconds.
+            Only a retry of the same interval is returned, so later ones stay
             counted for the whole window.
         """
         span = _span(taken_at)
-        found = [one for one in self.retries if one[0] == span and one[1]]
+        found = [
+            entry for entry in self.retries if entry[0] == span and entry[1]
+        ]
         if found:
             found[0][1] -= 1
             self.total_retries -= 1
 
 
 class Budgets:
-    """The repeats of all services at one node or gateway.
+    """The retry budgets of all services at one node or gateway.
 
-    :param ratio: repeats as a share of first sends.
-    :param slack: repeats beyond it in one window, of the whole fleet.
-    :param window_s: length of the window.
-    :param name: names this part of the bound; the seed of its rounding.
+    :param ratio: retries per first send.
+    :param slack: further retries of the whole fleet in one window.
+    :param window_s: length of the window in seconds.
+    :param name: identifies this part of the limit; seeds its rounding.
     :param began: monotonic time at which this process began to count.
     """
 
@@ -159,7 +162,7 @@
         self.budgets: dict[str, Budget] = {}
 
     def for_service(self, service: str) -> Budget:
-        """Return the repeats of a service."""
+        """Return the budget of a service, creating it on first use."""
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = Budget(
@@ -173,7 +176,7 @@
 
 
 def rounding(name: str) -> float:
-    """Return the rounding of one part, 0 to 1, the same over restarts."""
+    """Return the rounding of a part, 0 to 1; it is the same after restarts."""
     digest = hashlib.blake2b(name.encode(), digest_size=ROUNDING_BYTES)
     return int.from_bytes(digest.digest(), 'big') / 256**ROUNDING_BYTES
 
--- a/carawaystair/load/route_means.py
+++ b/carawaystair/load/route_means.py
@@ -1,24 +1,23 @@
-"""Running means of what is seen, by route."""
+"""Moving means of measured values, by route."""
 
-# Weight of a new value in the running mean: about ten count, so that a change
-# shows within some seconds.
+# Weight of a new value: about ten values count, so that a change shows within
+# some seconds.
 NEW_VALUE_WEIGHT = 0.15
-# Routes whose means are remembered.
 MAX_ROUTES = 512
 
 
 class RouteMeans:
-    """Means by route, and over all routes.
+    """Moving means by route, and over all routes.
 
-    :param first: what is expected where nothing has been seen yet.
+    :param initial: the mean before the first value.
     """
 
-    def __init__(self, first: float) -> None:
+    def __init__(self, initial: float) -> None:
         self.means: dict[str, float] = {}
-        self.mean = first
+        self.mean = initial
 
     def record(self, route: str, value: float) -> None:
-        """Take note of one value."""
+        """Add a value of a route."""
         old = self.means.pop(route, value)
         self.means[route] = old + NEW_VALUE_WEIGHT * (value - old)
         self.mean += NEW_VALUE_WEIGHT * (value - self.mean)
@@ -26,9 +25,9 @@
             del self.means[next(iter(self.means))]
 
     def has(self, route: str) -> bool:
-        """Tell whether a value of a route was seen."""
+        """Return whether a route has a mean of its own."""
         return route in self.means
 
     def expected(self, route: str) -> float:
-        """Return what is expected of a route."""
+        """Return the mean of a route, or that of all without its own."""
         return self.means.get(route, self.mean)
--- a/carawaystair/load/slot_queue.py
+++ b/carawaystair/load/slot_queue.py
@@ -1,18 +1,18 @@
-"""The requests that wait for a slot of one upstream.
-
-The load that this answers: a burst, or upstreams lost, for some seconds.  In
-order of arrival every request is then answered late, although there is room
-to answer many in time.  So those that can still meet their response-time goal
-go first, the most urgent kind before others, then by goal; those that can't
-come after them, by deadline, and are still served when a slot is left.
-Requests that a running one waits for go before others of the same rank, and
-are never late: while they wait, the slot of the other one is held for nothing,
-and if they fail, all its work is lost.  Their rank is that of the running
-request: were they to go before all, a service that is overloaded would serve
-the calls of a less urgent kind and reject the more urgent one.
-
-No more run at once than the upstream has slots.  What it would queue by
-itself can't be ordered, counted or taken back any more.
+"""Queue of the requests that wait for a slot of one upstream.
+
+In a burst, or after a loss of upstreams, serving in order of arrival answers
+every request late although many could be answered in time.  So requests that
+can still meet their response-time goal go first, by priority and then by goal;
+those that can't go after them, by deadline, and are served when a slot is
+left.  Requests that a running request waits for (inner requests) go before
+others of their priority and never count as late: while they wait, the other
+request holds a slot for nothing, and if they fail, its work is lost.  They
+have the priority of that running request: if they went before all others, an
+overloaded service would serve the calls of a less urgent kind and reject more
+urgent requests.
+
+No more requests run at once than the upstream has slots.  Requests queued
+inside the upstream could no longer be ordered, counted or withdrawn.
 """
 
 import heapq
@@ -22,32 +22,32 @@
 from carawaystair.load import rejection
 from carawaystair.load import route_means
 
-# Expected seconds of work where nothing has been seen yet.
+# Service time before the first measurement, in seconds.
 INITIAL_SERVICE_S = 0.4
-# An upstream that is still warming up takes so many times longer.
+# Factor on the service time while an upstream is warming up.
 WARMUP_FACTOR = 2.0
-# One that runs longer than its route usually takes is expected to take this
-# share of that time more.
+# A request that has run longer than expected is assumed to run for this share
+# of its expected service time more.
 OVERRUN_SHARE = 0.25
-# How far back it is looked which part of the slots went to requests in goal,
-# seconds: some service times, so that a burst of two seconds does not look
-# like an overload that stays.
+# Time constant of the share of slots that went to requests within their goal,
+# in seconds: several service times, so that a burst of two seconds does not
+# look like a lasting overload.
 IN_GOAL_WINDOW_S = 3.0
-# Late requests get this part of the slots at least, as is reckoned: no wait
-# is reckoned at more than ten times what stands in line.
+# Minimum share of slots assumed to be left for late requests, so that no
+# expected wait is more than ten times what the queue alone needs.
 MIN_LATE_SHARE = 0.1
 
 
 class SlotRequest(typing.NamedTuple):
-    """What a request wants of an upstream.
+    """A request for a slot of an upstream.
 
-    :param id: names the request.
+    :param id: identifies the request.
     :param route: key of its route.
-    :param deadline: monotonic time by which the answer is owed.
-    :param goal: monotonic time until which the answer is worth most;
-        infinite where it has no goal.
-    :param priority: rank of its kind, 0 first.
-    :param inner: whether another running request waits for it.
+    :param deadline: monotonic time by which the answer is due, in seconds.
+    :param goal: monotonic time until which the answer has its full value;
+        infinite if it has no goal.
+    :param priority: 0 is the most urgent.
+    :param inner: whether a running request waits for it.
     """
 
     id: str
@@ -59,28 +59,27 @@
 
 
 def durations() -> route_means.RouteMeans:
-    """Return means of service times, in seconds."""
+    """Return new mean service times, in seconds."""
     return route_means.RouteMeans(INITIAL_SERVICE_S)
 
 
 class SlotQueue:
-    """Decides who runs and who waits at one upstream.
+    """Decides which requests run and which wait at one upstream.
 
-    :param slots: requests that the upstream works on at once.
+    :param slots: requests that the upstream runs at once.
     """
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        # When each request that runs began, and how long it should take.
+        # Start and expected service time of each running request, by its id.
         self.started: dict[str, tuple[float, float]] = {}
         self.waiting: dict[str, SlotRequest] = {}
-        # Those that were let in although they will miss their goals.
+        # Ids of the waiting requests that were admitted as late.
         self.late: set[str] = set()
         self.durations = durations()
-        # Until when the upstream is still warming up.
         self.warmup_until = -math.inf
-        # Part of the slots that went to requests in goal lately, and when it
-        # was last reckoned.
+        # Moving share of the slots that went to requests within their goal,
+        # and when it was updated.
         self.in_goal_share = 0.0
         self.in_goal_share_at = 0.0
 
@@ -90,11 +89,11 @@
         return len(self.started)
 
     def expected_service_s(self, route: str, now: float) -> float:
-        """Return how long a request that begins now should take, seconds.
+        """Return the expected service time of a request that starts now.
 
-        Where all upstreams of a service start again, what waits for them is
-        held against this: reckoned by what warm ones take, twice as much is
-        let in as can be served, and most of it is held in vain.
+        Where all upstreams of a service restart, the times of warmed-up ones
+        would admit twice as many requests as can be served, and most of them
+        would wait in vain.
         """
         factor = WARMUP_FACTOR if now < self.warmup_until else 1.0
         return factor * self.durations.expected(route)
@@ -102,81 +101,86 @@
     def record_service_time(
         self, route: str, began: float, took_s: float
     ) -> None:
-        """Take note of what a request took that came to a good end."""
+        """Record the service time of a successful request."""
         factor = WARMUP_FACTOR if began < self.warmup_until else 1.0
         self.durations.record(route, took_s / factor)
 
     def request_slot(
-        self, want: SlotRequest, now: float, may_wait: bool
+        self, request: SlotRequest, now: float, may_wait: bool
     ) -> rejection.Verdict:
-        """Decide on a request that asks for a slot.
+        """Decide on a request for a slot.
 
-        :param may_wait: whether it stays here when there is no free one.
+        :param request: the request.
+        :param now: monotonic time in seconds.
+        :param may_wait: whether it may wait here if no slot is free.
         """
         if self.running < self.slots and not self.waiting:
-            self._begin(want, now)
+            self._begin(request, now)
             return rejection.Verdict(True)
-        wait_s = self.expected_wait_s(want, now)
-        service_s = self.expected_service_s(want.route, now)
+        wait_s = self.expected_wait_s(request, now)
+        service_s = self.expected_service_s(request.route, now)
         reason = ''
-        late = rejection.would_miss(now, wait_s, service_s, want.goal)
-        if late and not want.inner:
+        late = rejection.would_miss(now, wait_s, service_s, request.goal)
+        if late and not request.inner:
             wait_s = self.late_expected_wait_s(wait_s, now)
         if not may_wait:
             reason = rejection.BUSY
-        elif rejection.would_miss(now, wait_s, service_s, want.deadline):
+        elif rejection.would_miss(now, wait_s, service_s, request.deadline):
             reason = rejection.HOPELESS
         elif late and len(self.late) >= rejection.LATE_PER_SLOT * self.slots:
-            # Those that are late get what others leave.  After a short burst
-            # that is much, and they are served; while the load stays too
-            # high it is nothing, and each is held for nothing.
+            # Late requests get the slots that others leave.  After a short
+            # burst many are left and they are served; under a lasting
+            # overload none are left, and they would wait in vain.
             reason = rejection.HOPELESS
         elif len(self.waiting) >= rejection.MAX_WAITING:
             reason = rejection.FULL
         else:
-            self.waiting[want.id] = want
+            self.waiting[request.id] = request
             if late:
-                self.late.add(want.id)
+                self.late.add(request.id)
         return rejection.Verdict(False, reason, wait_s)
 
-    def is_late(self, want: SlotRequest, now: float) -> bool:
-        """Tell whether a request is to be answered after its goal."""
-        missed = now + self.expected_service_s(want.route, now) > want.goal
-        return missed or want.id in self.late
+    def is_late(self, request: SlotRequest, now: float) -> bool:
+        """Return whether a request counts as late."""
+        missed = (
+            now + self.expected_service_s(request.route, now) > request.goal
+        )
+        return missed or request.id in self.late
 
-    def expected_wait_s(self, want: SlotRequest, now: float) -> float:
-        """Return the expected seconds until a request would have a slot.
+    def expected_wait_s(self, request: SlotRequest, now: float) -> float:
+        """Return the expected seconds until a request would get a slot.
 
-        What runs is expected to end when its route usually does; those ahead
-        take the slots that come free, one after the other.
+        Running requests are expected to take the mean service time of their
+        route; the requests ahead take the slots that come free in turn.
         """
         if self.running < self.slots and not self.waiting:
             return 0.0
         free = [0.0] * max(self.slots - self.running, 0)
         free += [
-            _left_s(began + takes_s - now, takes_s)
-            for began, takes_s in self.started.values()
+            _remaining_s(began + service_s - now, service_s)
+            for began, service_s in self.started.values()
         ]
         if not free:
             return self.durations.mean
         heapq.heapify(free)
-        mine = self.rank(want, now)
+        rank = self.rank(request, now)
         for other in self.waiting.values():
-            if self.rank(other, now) <= mine:
-                takes_s = self.expected_service_s(other.route, now)
-                heapq.heapreplace(free, free[0] + takes_s)
+            if self.rank(other, now) <= rank:
+                service_s = self.expected_service_s(other.route, now)
+                heapq.heapreplace(free, free[0] + service_s)
         return free[0]
 
     def late_expected_wait_s(self, wait_s: float, now: float) -> float:
         """Return the expected wait of a request that will be late.
 
-        Those in goal that are yet to come overtake it.  While they take all
-        slots it would wait until its deadline for nothing, and is better
-        told at once.  Without this, 15 of 100 requests at 1.5 times the load
-        were held for over an eighth of their goal and not served after all,
-        and 7 in a burst; with it 7 and 2 (model of gateways, bench).
+        Requests within their goal that arrive later overtake it.  While they
+        take all slots, it would wait until its deadline in vain, and is better
+        rejected at once.  Without this, 15 of 100 requests at 1.5 times the
+        load were held for over an eighth of their goal and not served, and 7
+        in a burst; with it 7 and 2 (model of gateways).
 
-        :param wait_s: until those that are here now have had their slots.
+        :param wait_s: expected wait for the requests that are ahead now.
+        :param now: monotonic time in seconds.
         """
         return wait_s / max(1.0 - self._in_goal_share_now(now), MIN_LATE_SHARE)
 
@@ -185,50 +189,56 @@
             (self.in_goal_share_at - now) / IN_GOAL_WINDOW_S
         )
 
-    def rank(self, want: SlotRequest, now: float) -> tuple:
-        """Return what orders the requests that wait; the least goes first."""
-        late = self.is_late(want, now) and not want.inner
-        due = want.deadline if late else want.goal
-        return (late, want.priority, not want.inner, due, want.id)
+    def rank(self, request: SlotRequest, now: float) -> tuple:
+        """Return the sort key of a waiting request; the least goes first."""
+        late = self.is_late(request, now) and not request.inner
+        due = request.deadline if late else request.goal
+        return (late, request.priority, not request.inner, due, request.id)
 
     def remove(self, request: str) -> None:
-        """Forget a request that waits no more."""
+        """Remove a waiting request."""
         self.waiting.pop(request, None)
         self.late.discard(request)
 
-    def _begin(self, want: SlotRequest, now: float) -> None:
-        takes_s = self.expected_service_s(want.route, now)
-        self.started[want.id] = (now, takes_s)
-        if not self.is_late(want, now):
-            share = takes_s / (max(self.slots, 1) * IN_GOAL_WINDOW_S)
+    def _begin(self, request: SlotRequest, now: float) -> None:
+        service_s = self.expected_service_s(request.route, now)
+        self.started[request.id] = (now, service_s)
+        if not self.is_late(request, now):
+            share = service_s / (max(self.slots, 1) * IN_GOAL_WINDOW_S)
             self.in_goal_share = self._in_goal_share_now(now) + share
             self.in_goal_share_at = now
 
     def finish(self, request: str) -> None:
-        """Take note that a request that ran has ended."""
+        """Free the slot of a running request."""
         del self.started[request]
 
     def start_waiting(self, now: float) -> list[str]:
-        """Return who gets the free slots now; they count as running."""
+        """Give free slots to waiting requests; return the ids that start."""
         started = []
         while self.running < self.slots and self.waiting:
             first = min(
-                self.waiting.values(), key=lambda want: self.rank(want, now)
+                self.waiting.values(),
+                key=lambda request: self.rank(request, now),
             )
             self.remove(first.id)
             if now > self.latest_start(first, now):
-                # Whoever waits for it has given up, or is about to.
+                # Its sender has given up, or is about to.
                 continue
             self._begin(first, now)
             started.append(first.id)
         return started
 
-    def latest_start(self, want: SlotRequest, now: float) -> float:
-        """Return until when it makes sense for a request to wait."""
-        service_s = self.expected_service_s(want.route, now)
-        return rejection.latest_start(service_s, want.deadline)
+    def latest_start(self, request: SlotRequest, now: float) -> float:
+        """Return the monotonic time until which a request should wait."""
+        service_s = self.expected_service_s(request.route, now)
+        return rejection.latest_start(service_s, request.deadline)
+
 
+def _remaining_s(remaining_s: float, service_s: float) -> float:
+    """Return the expected remaining seconds of a running request.
 
-def _left_s(left_s: float, takes_s: float) -> float:
-    """Return the seconds that a request should still run."""
-    return left_s if left_s > 0.0 else OVERRUN_SHARE * takes_s
+    :param remaining_s: what is left of its expected service time, negative
+        if it has run longer.
+    :param service_s: its expected service time in seconds.
+    """
+    return remaining_s if remaining_s > 0.0 else OVERRUN_SHARE * service_s
--- a/carawaystair/load/trial_requests.py
+++ b/carawaystair/load/trial_requests.py
@@ -1,93 +1,100 @@
-"""When an upstream gets a request to show how it does.
+"""When an upstream gets a request as a trial.
 
-The load that this answers: only work shows how an upstream does.  If work
-went only where it is worth most, one that was gray would never be seen to be
-sound again, and one of which nothing is known never get any: an ejection that
-nobody decided and that no floor bounds.  So an upstream that had none for
-some time gets a request as a trial.
+The state of an upstream shows only in the requests it runs.  If requests went
+only to the upstreams with the highest expected value, one that was gray would
+never be seen to have recovered, and an unknown one would never get any: in
+effect they would be ejected, with no decision behind it and no floor to bound
+it.  So an upstream that has been idle for some time gets a trial request.
 
-Requests that may be repeated try first, and soon, as their failures cost a
-repeat only.  As long as they are offered here often, what may run once leaves
-it to them to try an upstream that is likely to fail: it would else be tried
-every few seconds by whatever comes first, and most of that is lost.
+Requests that may be repeated are tried first, and soon, since a failure only
+costs a retry.  While they are offered often, requests that may run only once
+leave it to them to try an upstream that is likely to fail.  Otherwise it would
+be tried every few seconds with whatever request comes first, and most of these
+would be lost.
 """
 
 import math
 
-# Without work for so long, an upstream gets a request that may be repeated.
-# It fails most of these while it is gray, each costs a repeat, and those of a
-# small service are few: as long as they fail, trials grow apart up to the
-# second figure, by a factor each time.  Seconds.
+# Idle time after which an upstream gets a repeatable request as a trial, in
+# seconds.  While it is gray, most trials fail and cost a retry, and a small
+# service has few retries, so the interval grows by a factor up to a maximum as
+# long as trials fail.
 MIN_INTERVAL_S = 0.5
 MAX_INTERVAL_S = 1.7
 INTERVAL_GROWTH = 1.5
-# Without work for so long it gets one that may run once, and for so much
-# longer the surer it is to fail that one, seconds.
+# Idle time after which an upstream gets a request that may run only once, in
+# seconds, and the additional time at a failure probability of 1.
 IDLE_S = 0.6
 FAILING_IDLE_S = 2.0
-# While the others serve the service well, that may take so many times longer:
-# each trial that fails loses a request.  Where they don't, all sound ones are
-# to have work within two seconds.
+# Factor on that time while the service is healthy, since each failed trial
+# loses a request.  Otherwise all healthy upstreams should get requests within
+# two seconds.
 HEALTHY_SERVICE_FACTOR = 2.0
-# Requests that may be repeated come often to an upstream that was offered two
-# of them within so long, seconds.  They come to each one by chance, and many
-# while its trial is not due.
+# Repeatable requests count as frequent if two were offered within this time,
+# in seconds.  They reach each upstream by chance, and many while no trial is
+# due.
 FREQUENT_OFFERS_S = 8.0
-# Where they come often, upstreams that fail more than this share are tried by
-# them alone.
+# While they are frequent, upstreams above this failure probability are tried
+# with repeatable requests only.
 RETRYABLE_ONLY_PROBABILITY = 0.2
 
 
 class Trials:
-    """The trials of one upstream."""
+    """Decides on the trial requests of one upstream."""
 
     def __init__(self) -> None:
         self.interval_s = MIN_INTERVAL_S
-        # When it last began any run, and when it last failed one.
+        # Monotonic times of the last start of any run and of the last failure.
         self.began_at = -math.inf
         self.failed_at = -math.inf
-        # When it was offered the last two requests that may be repeated.
+        # Monotonic times of the last two offers of repeatable requests.
         self.offered_at = (-math.inf, -math.inf)
 
     def record_offer(self, now: float) -> None:
-        """Take note of an offer of a request that may be repeated."""
+        """Record an offer of a repeatable request."""
         self.offered_at = (self.offered_at[1], now)
 
     def record_start(self, now: float) -> None:
-        """Take note that a run begins."""
+        """Record the start of a run."""
         self.began_at = now
 
     def record_failure(self, now: float) -> None:
-        """Take note that a run failed."""
+        """Record a failed run."""
         self.failed_at = now
         self.interval_s = min(
             INTERVAL_GROWTH * self.interval_s, MAX_INTERVAL_S
         )
 
     def record_success(self) -> None:
-        """Take note that a run succeeded."""
+        """Record a successful run."""
         self.interval_s = MIN_INTERVAL_S
 
     def idle_s(self, now: float) -> float:
-        """Return how long no run has begun, seconds; infinite before any."""
+        """Return seconds since a run last began; infinite before the first."""
         return now - self.began_at
 
     def due(
-        self, repeatable: bool, failing: float, calm: bool, now: float
+        self,
+        repeatable: bool,
+        failure_probability: float,
+        service_healthy: bool,
+        now: float,
     ) -> bool:
-        """Tell whether a request should run here for what it shows.
+        """Return whether a request should run here as a trial.
 
-        :param repeatable: whether it can be sent once more if it fails.
-        :param failing: how likely it fails.
-        :param calm: whether the service is served well.
+        :param repeatable: whether it can be retried if it fails.
+        :param failure_probability: that the upstream fails it.
+        :param service_healthy: whether other upstreams serve the service well.
+        :param now: monotonic time in seconds.
         """
         if repeatable:
             return self.idle_s(now) >= self.interval_s
-        often = now - self.offered_at[0] < FREQUENT_OFFERS_S
-        if often and failing > RETRYABLE_ONLY_PROBABILITY:
+        frequent = now - self.offered_at[0] < FREQUENT_OFFERS_S
+        if frequent and failure_probability > RETRYABLE_ONLY_PROBABILITY:
             return False
-        patience_s = IDLE_S + FAILING_IDLE_S * failing
+        wait_s = IDLE_S + FAILING_IDLE_S * failure_probability
         quiet_s = now - max(self.failed_at, self.began_at)
         return (
-            quiet_s >= (HEALTHY_SERVICE_FACTOR if calm else 1.0) * patience_s
+            quiet_s
+            >= (HEALTHY_SERVICE_FACTOR if service_healthy else 1.0) * wait_s
         )
--- a/carawaystair/load/upstream_gate.py
+++ b/carawaystair/load/upstream_gate.py
@@ -1,9 +1,9 @@
-"""What one upstream gets: decided where all its requests come in.
+"""Decides which requests one upstream gets.
 
-The load that this answers: nodes know an upstream by reports that are seconds
-old, and offer it what others have offered it meanwhile.  Here it is known
-exactly what runs, what waits and what failed just now, so that the last word
-is spoken here, by what the request is worth at this moment.
+Nodes know an upstream from reports that are seconds old, and several may offer
+it requests at once.  Its gateway knows exactly what runs, what waits and what
+just failed, so the final decision is made there, by the expected value of the
+request at that moment.
 """
 
 import math
@@ -18,22 +18,22 @@
 
 MS = 1000
 THOUSAND = 1000
-# Ages beyond this are all the same, seconds.
+# Longest idle time that is reported, in seconds.
 MAX_AGE_S = 60.0
-# Why a request is refused: it is worth more elsewhere, as far as is known.
+# Why a request is refused: it probably has a higher value elsewhere.
 RISKY = 'risky'
 
 
 class Offer(typing.NamedTuple):
-    """How a request is offered.
-
-    :param last: whether it can't be sent once more if it fails.
-    :param repeat: whether an upstream got it before.
-    :param again: what it is worth if it fails here, 0 to 1.
-    :param least: what it must be worth here to be taken, 0 to 1.
-    :param calm: whether its node sees the service served well.
-    :param usual_s: service time of its route, as its node knows it, seconds;
-        0 where it does not.
+    """How a node offers a request.
+
+    :param final: whether it can't be retried if it fails.
+    :param retry: whether an upstream got it before.
+    :param retry_value: its value after a failure here, 0 to 1.
+    :param min_value: the expected value here needed to accept it, 0 to 1.
+    :param service_healthy: whether the node sees the service served well.
+    :param usual_service_s: service time of its route as known to the node, in
+        seconds; 0 if unknown.
     """
 
     final: bool
@@ -45,11 +45,11 @@
 
 
 class Answer(typing.NamedTuple):
-    """What a gate says to an offer.
+    """A gateway's answer to an offer.
 
-    :param reason: why it is refused; empty when it may run now.
-    :param trial: whether it runs only for what it shows.
-    :param detail: the circumstances, for a person.
+    :param reason: why it is refused; empty if it may run now.
+    :param trial: whether it runs as a trial.
+    :param detail: circumstances of a refusal, for people.
     """
 
     reason: str
@@ -60,7 +60,7 @@
 class Gate:
     """Decides which requests one upstream gets, and in which order.
 
-    :param slots: requests that the upstream works on at once.
+    :param slots: requests that the upstream runs at once.
     """
 
     def __init__(self, slots: int) -> None:
@@ -69,47 +69,47 @@
         self.trials = trial_requests.Trials()
 
     def answer(
-        self, offer: Offer, want: slot_queue.SlotRequest, now: float
+        self, offer: Offer, request: slot_queue.SlotRequest, now: float
     ) -> Answer:
-        """Decide on a request that does not stay here at any price."""
+        """Decide on a request that may be refused for a better upstream."""
         queue = self.queue
         if not offer.final:
             self.trials.record_offer(now)
         if queue.running >= queue.slots or queue.waiting:
             # Another upstream may have a free slot.
             return Answer(rejection.BUSY)
-        worth = self.expected_value(offer, want, now)
-        if worth >= offer.min_value:
+        value = self.expected_value(offer, request, now)
+        if value >= offer.min_value:
             return Answer('')
-        failing = self.estimate.failure_probability(now)
-        # A repeat is no trial: it must not fail again.
+        failure_probability = self.estimate.failure_probability(now)
+        # A retry never runs as a trial, since it should not fail again.
         if not offer.retry and self.trials.due(
-            not offer.final, failing, offer.service_healthy, now
+            not offer.final, failure_probability, offer.service_healthy, now
         ):
             return Answer('', True)
-        detail = 'worth %.2f of %.2f, fails %.2f' % (
-            worth,
+        detail = 'expected value %.2f below %.2f, failure probability %.2f' % (
+            value,
             offer.min_value,
-            failing,
+            failure_probability,
         )
         return Answer(RISKY, False, detail)
 
     def expected_value(
-        self, offer: Offer, want: slot_queue.SlotRequest, now: float
+        self, offer: Offer, request: slot_queue.SlotRequest, now: float
     ) -> float:
-        """Return what it is worth to run a request here, 0 to 1.
+        """Return the expected value of running a request here, 0 to 1.
 
-        Of the service times that are known the longer one counts: what
-        little an upstream has done may have been short by chance.
+        Uses the longer of the known service times, because the few runs of
+        one upstream may have been short by chance.
         """
         service_s = max(
-            self.queue.expected_service_s(want.route, now),
+            self.queue.expected_service_s(request.route, now),
             offer.usual_service_s,
         )
-        answer_s = self.queue.expected_wait_s(want, now) + service_s
+        answer_s = self.queue.expected_wait_s(request, now) + service_s
         need = request_value.Need(
-            want.goal - now,
-            want.deadline - now,
+            request.goal - now,
+            request.deadline - now,
             offer.final,
             offer.retry_value,
         )
@@ -118,35 +118,37 @@
         )
 
     def idle_s(self, now: float) -> float:
-        """Return how long no run has begun, seconds."""
+        """Return seconds since a run last began, at most MAX_AGE_S."""
         return min(self.trials.idle_s(now), MAX_AGE_S)
 
     def report(
         self, process: str, route: str, now: float
     ) -> upstream_selection.LoadReport:
-        """Return what other nodes should know.
+        """Return the load report for other nodes.
 
-        :param process: names the start of this process.
-        :param route: key of the route that was asked for.
+        :param process: identifies this start of the process.
+        :param route: key of the requested route.
+        :param now: monotonic time in seconds.
         """
         queue = self.queue
-        failing = self.estimate.failure_probability(now)
-        seen = queue.durations.has(route)
-        # One more request that is neither urgent nor late.
+        failure_probability = self.estimate.failure_probability(now)
+        measured = queue.durations.has(route)
+        # A further request without a goal or deadline and of the default
+        # priority.
         wait_s = queue.expected_wait_s(
             slot_queue.SlotRequest('', route, math.inf), now
         )
         return upstream_selection.LoadReport(
             process,
-            failing > failure_estimate.SUSPECT_PROBABILITY,
+            failure_probability > failure_estimate.SUSPECT_PROBABILITY,
             queue.running,
             len(queue.waiting),
             queue.slots,
             int(wait_s * MS),
             int(queue.durations.mean * MS),
             int(self.idle_s(now) * MS),
-            int(queue.expected_service_s(route, now) * MS) if seen else 0,
-            failure_permille=int(failing * THOUSAND),
+            int(queue.expected_service_s(route, now) * MS) if measured else 0,
+            failure_permille=int(failure_probability * THOUSAND),
             typical_failure_permille=int(
                 self.estimate.typical_failure_probability() * THOUSAND
             ),
--- a/carawaystair/load/upstream_selection.py
+++ b/carawaystair/load/upstream_selection.py
@@ -1,14 +1,14 @@
-"""Which upstream a request is offered to.
-
-The load that this answers: upstreams differ in speed, some are full, some are
-gray, and every node sees each of them only now and then.  What a node knows
-comes with each answer and each refusal of a gateway, and it ages: with 27
-nodes and 45 requests a second a node hears of one upstream every few seconds,
-while its load changes ten times a second.  So the choice needs only to be
-good on average, because the gateway that is asked decides: it refuses at once
-when it has no free slot, or is worth less than what the node expects of
-another one.  The node asks on while it expects more of those that it has not
-asked than of those that have refused.
+"""Selection of the upstream that a request is offered to.
+
+Upstreams differ in speed, some are full and some are gray, and each node sees
+each of them only now and then.  A node learns of an upstream from every answer
+and refusal of its gateway, and this ages: with 27 nodes and 45 requests a
+second a node hears of an upstream every few seconds, while its load changes
+ten times a second.  So the selection only needs to be good on average, because
+the gateway decides: it refuses at once if it has no free slot, or if the
+request has a lower value there than the node expects at another upstream.  The
+node goes on asking while an upstream that it has not asked has a higher
+expected value than those that have refused.
 """
 
 import math
@@ -20,50 +20,51 @@
 from carawaystair.load import route_means
 from carawaystair.load import slot_queue
 
-# What a gateway said of its load fades over so long, seconds; about one
+# Time constant with which a reported load decays, in seconds; about one
 # service time.
 LOAD_DECAY_S = 0.5
-# An upstream whose slots are all in use, as far as is known, should make a
-# request wait for so long if that is so, seconds.
+# Expected wait at an upstream whose slots are all in use as far as is known,
+# in seconds.
 FULL_SLOTS_WAIT_S = 0.3
-# What a node heard of an upstream so long ago or longer tells it no more than
-# nothing does, seconds: whether others had work for it since is not known.
+# Idle time from which an upstream counts as unknown, in seconds: other nodes
+# may or may not have sent requests to it since.
 UNKNOWN_IDLE_S = 1.0
-# An upstream in the same data centre may be worth so much less, and for each
-# KB of a request and its answer so much more, up to a bound: bytes between
-# data centres cost time and money.
+# Bonus on the value at an upstream in the same data centre, further bonus per
+# KB of the request and its answer, and the maximum of both: traffic between
+# data centres costs time and money.
 SAME_DATA_CENTRE_BONUS = 0.01
 BONUS_PER_KB = 0.002
 MAX_BONUS = 0.15
-# An upstream whose gateway can't be reached directly is worth this part of
-# what it would be: the way through a third node may fail as well.
+# Factor on the value at an upstream whose gateway can't be reached directly:
+# the detour through a third node may fail as well.
 DETOUR_VALUE_SHARE = 0.5
-# Upstreams that are worth so nearly the same are drawn by lot.  Were the best
-# one taken, all that a node sends would meet it until its next report.
+# Upstreams whose values differ by no more than this are chosen between at
+# random.  Otherwise the best one would get all requests of a node until its
+# next report.
 EQUAL_VALUE_MARGIN = 0.02
 
 
 class LoadReport(typing.NamedTuple):
-    """What a gateway says of its upstream, with every answer.
-
-    :param process: names the start of the gateway's process.
-    :param suspect: whether the upstream is more likely to fail than not.
-    :param running: requests that run at it.
-    :param waiting: requests that wait for it.
-    :param slots: requests that it works on at once.
-    :param wait_ms: expected wait of one more request, ms.
-    :param service_ms: mean service time, ms.
-    :param idle_ms: time since it last began a run, ms.
-    :param route_ms: mean service time of the route that was asked for, ms;
-        it may be a tenth of that of others; 0 where none was seen.
-    :param incarnation: the life of the upstream that this is about, 0 where
-        none stands.
-    :param failing: how likely it fails the next request, in thousandths;
-        negative where that is not said.
-    :param usual: how likely that is where nothing is known of an upstream,
-        in thousandths.
-    :param read_ms: when the gateway read the request, ms since the start of
-        its host; 0 where it is not said.
+    """A gateway's report on its upstream, sent with every answer.
+
+    :param process: identifies the start of the gateway's process.
+    :param likely_failing: whether the upstream is more likely to fail the next
+        request than not.
+    :param running: number of requests that run at the upstream.
+    :param waiting: number of requests that wait for a slot.
+    :param slots: requests that the upstream runs at once.
+    :param wait_ms: expected wait of one more request, in ms.
+    :param service_ms: mean service time, in ms.
+    :param idle_ms: time since a run last began, in ms.
+    :param route_ms: mean service time of the requested route, in ms, which
+        may be a tenth of that of other routes; 0 if none was measured.
+    :param incarnation: the incarnation of the upstream, 0 if there is none.
+    :param failure_permille: probability that the next request fails, in
+        thousandths; negative if not reported.
+    :param typical_failure_permille: the same for an upstream without
+        observations.
+    :param read_ms: when the gateway read the request, in ms since the start of
+        its host; 0 if not reported.
     """
 
     process: str
@@ -86,10 +87,10 @@
 class Candidate(typing.NamedTuple):
     """An upstream that may get a request.
 
-    :param id: the upstream.
-    :param near: whether it stands in this node's data centre.
-    :param slots: requests that it works on at once.
-    :param cold: whether it is still warming up.
+    :param id: id of the upstream.
+    :param same_data_centre: whether it is in this node's data centre.
+    :param slots: requests that it runs at once.
+    :param warming_up: whether it is warming up.
     """
 
     id: str
@@ -99,11 +100,11 @@
 
 
 class Choice(typing.NamedTuple):
-    """The upstream to offer a request to.
+    """The upstream selected for a request.
 
     :param candidate: the upstream.
-    :param least: what it must be worth there to be taken, 0 to 1.
-    :param again: what it is worth if it fails there, 0 to 1.
+    :param min_value: the value there needed to accept the request, 0 to 1.
+    :param retry_value: its value after a failure there, 0 to 1.
     """
 
     candidate: Candidate
@@ -112,92 +113,96 @@
 
 
 class UpstreamState:
-    """What this node knows of one upstream."""
+    """The state of one upstream as known to this node."""
 
     __slots__ = (
-        'in_flight',
+        'reported_at',
         'incarnation',
+        'in_flight',
         'reachable',
         'report',
-        'reported_at',
         'route',
     )
 
     def __init__(self, incarnation: int = 0) -> None:
-        # The life that it is about, 0 while that is not known.
+        # 0 while unknown.
         self.incarnation = incarnation
         self.report: LoadReport | None = None
-        # Key of the route that it was told for, and when.
+        # Key of the route that the report is about, and when it came.
         self.route = ''
         self.reported_at = 0.0
-        # Requests of this node that are with it now.
+        # Requests of this node that are at the upstream or its gateway.
         self.in_flight = 0
-        # Whether its gateway answers on the direct way.
+        # Whether its gateway can be reached directly.
         self.reachable = True
 
 
 class UpstreamSelector:
-    """What this node knows of all upstreams that it sends to.
+    """Selects upstreams by the states known to this node.
 
-    :param rng: the source of randomness.
+    :param rng: source of randomness.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.states: dict[str, UpstreamState] = {}
-        # Service times of routes, as all upstreams tell them.
+        # Service times of routes, as reported for all upstreams.
         self.durations = slot_queue.durations()
-        # And the bytes of their answers.
+        # Sizes of the answers of routes, in bytes.
         self.answer_sizes = route_means.RouteMeans(0.0)
 
     def state(self, upstream: str) -> UpstreamState:
-        """Return what is known of an upstream."""
+        """Return the state of an upstream, creating it if unknown."""
         found = self.states.get(upstream)
         if found is None:
             found = self.states[upstream] = UpstreamState()
         return found
 
     def knows_read_time(self, upstream: str) -> bool:
-        """Tell whether a gateway has said when it reads its requests."""
-        view = self.states.get(upstream)
-        report = None if view is None else view.report
+        """Return whether a gateway reports when it reads requests."""
+        state = self.states.get(upstream)
+        report = None if state is None else state.report
         return report is not None and report.read_ms > 0
 
     def forget(self, upstream: str) -> None:
-        """Forget an upstream that is gone."""
+        """Remove an upstream that is gone."""
         self.states.pop(upstream, None)
 
     def start_incarnation(self, upstream: str, incarnation: int) -> None:
-        """Begin anew with an upstream of which a newer life is known.
+        """Reset the state of an upstream if the incarnation is newer.
 
-        Requests that are with the former life count no more; only whether
-        its gateway answers is not the upstream's.
+        Requests sent to the former incarnation no longer count.  Whether the
+        gateway can be reached is kept: it doesn't depend on the upstream.
         """
         former = self.state(upstream)
         if not former.incarnation:
             former.incarnation = incarnation
         if incarnation <= former.incarnation:
             return
-        view = self.states[upstream] = UpstreamState(incarnation)
-        view.reachable = former.reachable
+        state = self.states[upstream] = UpstreamState(incarnation)
+        state.reachable = former.reachable
 
     def record_report(
         self, upstream: str, report: LoadReport, now: float, route: str = ''
     ) -> None:
-        """Take note of a report.
+        """Record a report.
 
-        One of a former life may be overtaken by the news of the new one.
+        One of a former incarnation is ignored: it may arrive after news of the
+        new one.
 
-        :param route: key of the route that was asked for.
+        :param upstream: id of the upstream.
+        :param report: the report.
+        :param now: monotonic time in seconds.
+        :param route: key of the requested route.
         """
         if report.incarnation:
             self.start_incarnation(upstream, report.incarnation)
-        view = self.state(upstream)
-        if report.incarnation < view.incarnation:
+        state = self.state(upstream)
+        if report.incarnation < state.incarnation:
             return
-        view.report = report
-        view.route = route
-        view.reported_at = now
+        state.report = report
+        state.route = route
+        state.reported_at = now
         if report.route_ms:
             self.durations.record(route, report.route_ms / 1000)
 
@@ -211,47 +216,50 @@
         route: str = '',
         size: float = 0.0,
         trial: bool = False,
-        spread: bool = False,
+        explore: bool = False,
     ) -> Choice | None:
         """Return the upstream to offer a request to.
 
-        None when all were tried, or when one that refused is worth more than
-        any other is expected to be.
+        None if all were asked, or if the request has a higher value at one
+        that refused than it is expected to have at any other.
 
-        :param tried: upstreams that were asked.
-        :param refused: those of them at which it might wait.
+        :param candidates: upstreams that take requests.
+        :param tried: ids of the upstreams that were asked.
+        :param refused: ids of those of them at which it might wait.
+        :param now: monotonic time in seconds.
+        :param need: the needs of the request.
         :param route: key of its route.
-        :param size: bytes of its body.
-        :param trial: whether it goes to one that had no work for some time,
-            as far as is known, to show how that one does.
-        :param spread: whether those of which nothing was heard lately have
-            an equal chance.
+        :param size: size of its body in bytes.
+        :param trial: whether to prefer an upstream that has been idle as far
+            as is known, to learn its state.
+        :param explore: whether upstreams without a recent report get an equal
+            chance.
         """
         candidates = list(candidates)
         need = need._replace(
             retry_value=self._retry_value(candidates, need, now, route)
         )
-        near = self._data_centre_bonus(route, size)
+        bonus = self._data_centre_bonus(route, size)
         rated = [
             (
                 self.expected_value(one, need, now, route)
-                + near * one.same_data_centre,
+                + bonus * one.same_data_centre,
                 one,
             )
             for one in candidates
         ]
-        left = [pair for pair in rated if pair[1].id not in tried]
-        if not left:
+        untried = [pair for pair in rated if pair[1].id not in tried]
+        if not untried:
             return None
-        known = [worth for worth, one in rated if one.id in refused]
-        best = max(worth for worth, _one in left)
+        known = [value for value, one in rated if one.id in refused]
+        best = max(value for value, _one in untried)
         if max(known, default=0.0) > best:
             return None
-        chosen = self._draw(left, best, now, trial, spread)
-        others = [worth for worth, one in left if one.id != chosen.id]
-        least = max(others + known, default=0.0) - EQUAL_VALUE_MARGIN
-        least -= near * chosen.same_data_centre
-        return Choice(chosen, max(least, 0.0), need.retry_value)
+        chosen = self._draw(untried, best, now, trial, explore)
+        others = [value for value, one in untried if one.id != chosen.id]
+        min_value = max(others + known, default=0.0) - EQUAL_VALUE_MARGIN
+        min_value -= bonus * chosen.same_data_centre
+        return Choice(chosen, max(min_value, 0.0), need.retry_value)
 
     def _retry_value(
         self,
@@ -260,41 +268,45 @@
         now: float,
         route: str,
     ) -> float:
-        """Return what a request is worth if it fails at the first upstream.
+        """Return the value of a request after a failure.
 
-        While upstreams have room, nearly all; when they are full, little.
+        It is nearly the full value while upstreams have free slots, and little
+        when they are full.
         """
         if need.final:
             return 0.0
-        last = need._replace(final=True)
+        final = need._replace(final=True)
         best = max(
-            (self.expected_value(one, last, now, route) for one in candidates),
+            (
+                self.expected_value(one, final, now, route)
+                for one in candidates
+            ),
             default=0.0,
         )
         return request_value.RETRY_VALUE_SHARE * best
 
     def _draw(
         self,
-        left: list[tuple[float, Candidate]],
+        untried: list[tuple[float, Candidate]],
         best: float,
         now: float,
         trial: bool,
-        spread: bool,
+        explore: bool,
     ) -> Candidate:
-        """Draw one of those that are worth the same, or of the unknown."""
-        same = [
-            one for worth, one in left if worth >= best - EQUAL_VALUE_MARGIN
+        """Choose at random between equal values, or unknown upstreams."""
+        equal = [
+            one for value, one in untried if value >= best - EQUAL_VALUE_MARGIN
         ]
-        if not trial and not spread:
-            return self.rng.choice(same)
+        if not trial and not explore:
+            return self.rng.choice(equal)
         unknown = [
             one
-            for worth, one in left
+            for _value, one in untried
             if self.idle_s(one, now) >= UNKNOWN_IDLE_S and self._reachable(one)
         ]
         if trial:
-            return self.rng.choice(unknown or same)
-        return self.rng.choice([*unknown, self.rng.choice(same)])
+            return self.rng.choice(unknown or equal)
+        return self.rng.choice([*unknown, self.rng.choice(equal)])
 
     def expected_value(
         self,
@@ -303,19 +315,22 @@
         now: float,
         route: str = '',
     ) -> float:
-        """Return what it should be worth to offer a request to an upstream.
+        """Return the expected value of offering a request, 0 to 1.
 
+        :param candidate: the upstream.
+        :param need: the needs of the request.
+        :param now: monotonic time in seconds.
         :param route: key of its route.
         """
-        view = self.states.get(candidate.id)
-        report = None if view is None else view.report
-        failing = failure_estimate.UNOBSERVED_FAILURE_PROBABILITY
+        state = self.states.get(candidate.id)
+        report = None if state is None else state.report
+        failure_probability = failure_estimate.UNOBSERVED_FAILURE_PROBABILITY
         service_s = self.durations.expected(route)
         if report is not None:
-            failing = reported_failure_probability(
-                report, now - view.reported_at
+            failure_probability = reported_failure_probability(
+                report, now - state.reported_at
             )
-            if view.route == route and report.route_ms:
+            if state.route == route and report.route_ms:
                 service_s = report.route_ms / 1000
         if candidate.warming_up:
             service_s = max(
@@ -323,61 +338,76 @@
                 slot_queue.WARMUP_FACTOR * self.durations.expected(route),
             )
         answer_s = self.expected_wait_s(candidate, now) + service_s
-        worth = request_value.expected_value(failing, answer_s, need)
+        value = request_value.expected_value(
+            failure_probability, answer_s, need
+        )
         return (
-            worth if self._reachable(candidate) else DETOUR_VALUE_SHARE * worth
+            value if self._reachable(candidate) else DETOUR_VALUE_SHARE * value
         )
 
     def _data_centre_bonus(self, route: str, size: float) -> float:
-        """Return what the same data centre is worth to a request."""
+        """Return the bonus of an upstream in the same data centre."""
         kilobytes = (size + self.answer_sizes.expected(route)) / 1024
         return min(
             SAME_DATA_CENTRE_BONUS + BONUS_PER_KB * kilobytes, MAX_BONUS
         )
 
     def _reachable(self, candidate: Candidate) -> bool:
-        view = self.states.get(candidate.id)
-        return view is None or view.reachable
+        state = self.states.get(candidate.id)
+        return state is None or state.reachable
 
     def expected_wait_s(self, candidate: Candidate, now: float) -> float:
-        """Return how long a request should wait for a slot, seconds."""
-        view = self.states.get(candidate.id)
-        if view is None:
+        """Return the expected seconds until a request gets a slot."""
+        state = self.states.get(candidate.id)
+        if state is None:
             return 0.0
         slots = max(candidate.slots, 1)
-        crowded_s = FULL_SLOTS_WAIT_S * view.in_flight / slots
-        if view.report is None:
-            return crowded_s
-        fade = math.exp((view.reported_at - now) / LOAD_DECAY_S)
-        load = max(view.report.running + view.report.waiting, view.in_flight)
+        in_flight_wait_s = FULL_SLOTS_WAIT_S * state.in_flight / slots
+        if state.report is None:
+            return in_flight_wait_s
+        decay = math.exp((state.reported_at - now) / LOAD_DECAY_S)
+        load = max(
+            state.report.running + state.report.waiting, state.in_flight
+        )
         return (
-            fade * view.report.wait_ms / 1000
+            decay * state.report.wait_ms / 1000
             + FULL_SLOTS_WAIT_S * load / slots
         )
 
     def load(self, candidate: Candidate, now: float) -> int:
-        """Return the requests that are with an upstream, as far as known."""
-        view = self.states.get(candidate.id)
-        if view is None:
+        """Return how many requests an upstream has, as far as is known."""
+        state = self.states.get(candidate.id)
+        if state is None:
             return 0
-        if view.report is None or now - view.reported_at > LOAD_DECAY_S:
-            return view.in_flight
-        return max(view.report.running + view.report.waiting, view.in_flight)
+        if state.report is None or now - state.reported_at > LOAD_DECAY_S:
+            return state.in_flight
+        return max(
+            state.report.running + state.report.waiting, state.in_flight
+        )
 
     def idle_s(self, candidate: Candidate, now: float) -> float:
-        """Return how long nothing is known of work at an upstream, seconds."""
-        view = self.states.get(candidate.id)
-        if view is None or view.report is None:
+        """Return how long an upstream has been idle, as far as is known.
+
+        In seconds; infinite without a report.
+        """
+        state = self.states.get(candidate.id)
+        if state is None or state.report is None:
             return math.inf
-        return view.report.idle_ms / 1000 + now - view.reported_at
+        return state.report.idle_ms / 1000 + now - state.reported_at
 
 
 def reported_failure_probability(report: LoadReport, age_s: float) -> float:
-    """Return how likely an upstream fails, by a report of that age."""
-    usual = report.typical_failure_permille / 1000
+    """Return the present failure probability by a report.
+
+    :param report: the report.
+    :param age_s: its age in seconds.
+    """
+    typical = report.typical_failure_permille / 1000
     if report.failure_permille < 0:
-        # A gateway of an older version says only this.
-        failing = 1.0 - usual if report.likely_failing else usual
+        # Gateways of an older version report only this.
+        reported = 1.0 - typical if report.likely_failing else typical
     else:
-        failing = report.failure_permille / 1000
-    return failure_estimate.decayed_failure_probability(failing, usual, age_s)
+        reported = report.failure_permille / 1000
+    return failure_estimate.decayed_failure_probability(
+        reported, typical, age_s
+    )
