--- a/carawaystair/admission/controller.py
+++ b/carawaystair/admission/controller.py
@@ -1,4 +1,4 @@
-"""The part of a node that decides when requests start."""
+"""Admission control of a node: the gates of all services."""
 
 import asyncio
 import functools
@@ -16,25 +16,25 @@
 from carawaystair import routing as routing_module
 from carawaystair import timeline as timeline_module
 
-# How often limits follow ejections and a new configuration.
+# Interval at which limits follow ejections and the configuration, in seconds.
 TICK_S = 0.25
-# Idle customers that a gate remembers.
+# Customers above which a gate forgets the idle ones.
 MAX_IDLE_FLOWS = 256
 
 LOG = logs.get('admission')
 
 
 class Admission(mode.Service):
-    """Keeps ``interfaces.Admission`` for all services on this node.
+    """Implements ``interfaces.Admission`` for all services on this node.
 
     :param members: the processes believed alive.
     :param directory: the upstreams, with the slots that they announce.
-    :param health: tells which upstreams get no work.
+    :param health: tells which upstreams are ejected.
     :param routing: returns the configuration in force.
-    :param timeline: takes events.
+    :param timeline: records events.
     """
 
-    # Experiments put other policies here.
+    # Replaced by experiments that compare policies.
     gate_class = gates.Gate
 
     def __init__(
@@ -59,7 +59,7 @@
     def try_admit(
         self, service: str, customer: str, deadline: float, bulk: bool
     ) -> gates.Permit | None:
-        """Take a free slot at once, see ``interfaces.Admission``."""
+        """Take a free slot if there is one, see ``interfaces.Admission``."""
         gate = self.gates.get(service) or self._gate(service)
         return gate.try_start(customer, deadline, bulk)
 
@@ -76,12 +76,12 @@
         return await gate.wait(customer, deadline, bulk)
 
     def retry_after(self, service: str) -> float:
-        """Return when to try again, see ``interfaces.Admission``."""
+        """Return the seconds to retry after, see ``interfaces.Admission``."""
         gate = self.gates.get(service) or self._gate(service)
         return gate.retry_after()
 
     def slots(self, service: str) -> int:
-        """Return the slots of a service that may take work."""
+        """Return the slots of a service at upstreams that take requests."""
         ejected = self.health.ejected(service)
         return sum(
             upstream.slots
@@ -90,13 +90,13 @@
         )
 
     async def on_stop(self) -> None:
-        """Give everyone who waits a final answer."""
+        """Refuse all waiting requests."""
         for gate in self.gates.values():
             gate.fail_all(codes.LEAVING)
 
     @mode.Service.task
     async def _follow(self) -> None:
-        """Follow ejections and the configuration."""
+        """Apply ejections and configuration changes periodically."""
         while not self.should_stop:
             await asyncio.sleep(TICK_S)
             if self.routing() is not self.current_routing:
@@ -106,7 +106,7 @@
                 self._forget_idle_flows(gate)
 
     def _gate(self, service: str) -> gates.Gate:
-        """Make the gate of a service on its first request."""
+        """Create the gate of a service on its first request."""
         gate = self.gate_class(
             service,
             self._flow,
@@ -124,25 +124,28 @@
         return self.current_routing.service(name) or manifests.Service()
 
     def _flow(self, customer: str) -> fair_queue.Flow:
-        """Make the flow of a customer; unknown ones share a class."""
-        known = self.current_routing.customer(customer)
-        if known is None:
+        """Create the flow of a customer; unknown customers share one."""
+        configured = self.current_routing.customer(customer)
+        if configured is None:
             other = self.current_routing.customer(manifests.OTHER)
             weight = other.weight if other is not None else 1
             return fair_queue.Flow(manifests.OTHER, weight)
-        return fair_queue.Flow(customer, known.weight, known.limit)
+        return fair_queue.Flow(customer, configured.weight, configured.limit)
 
     def _apply_routing(self) -> None:
-        """Take over a new configuration."""
+        """Apply the configuration in force to all gates."""
         self.current_routing = self.routing()
         for gate in self.gates.values():
             gate.queue_limit = self._service(gate.service).queue
             for flow in gate.flows.values():
-                fresh = self._flow(flow.customer)
-                flow.weight, flow.max_running = fresh.weight, fresh.max_running
+                updated = self._flow(flow.customer)
+                flow.weight, flow.max_running = (
+                    updated.weight,
+                    updated.max_running,
+                )
 
     def _update_share(self, gate: gates.Gate) -> None:
-        """Give a gate this node's static share of the slots."""
+        """Set the share of a gate: the service's slots, divided by nodes."""
         slots = self.slots(gate.service)
         share = slots / max(len(self.members.alive()), 1)
         share = max(share, 1.0) if slots else 0.0
@@ -155,7 +158,7 @@
             self._update_share(gate)
 
     def _forget_idle_flows(self, gate: gates.Gate) -> None:
-        """Forget idle customers when a gate knows too many."""
+        """Remove idle flows when a gate has too many."""
         if len(gate.flows) <= MAX_IDLE_FLOWS:
             return
         gate.flows = {
@@ -172,12 +175,12 @@
     health: interfaces.Health,
     routing: typing.Callable[[], routing_module.Routing],
 ) -> Admission:
-    """Return the admission part of a node.
+    """Return the admission control of a node.
 
     :param kernel: the kernel of this process.
     :param members: the processes believed alive.
     :param directory: the upstreams.
-    :param health: tells which upstreams get no work.
+    :param health: tells which upstreams are ejected.
     :param routing: returns the configuration in force.
     """
     return Admission(members, directory, health, routing, kernel.timeline)
--- a/carawaystair/admission/fair_queue.py
+++ b/carawaystair/admission/fair_queue.py
@@ -1,8 +1,8 @@
-"""Weighted fair queueing of the requests that wait for one service.
+"""Weighted fair queue of the requests that wait for one service.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996) over customers.  What
-is shared out is the time for which requests hold slots: a request is charged
-the mean time at its start and the difference once the true time is known.
+Start-time fair queueing (Goyal, Vin and Cheng, 1996) over customers.  The
+shared resource is slot time: a request is charged the mean hold time at its
+start, and the difference once its actual hold time is known.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 
 
 class Waiter:
-    """One request that waits for a slot.
+    """A request that waits for a slot.
 
-    :param flow: the customer's queue that it stands in.
+    :param flow: the flow of its customer.
     :param bulk: whether it is a long transfer.
-    :param deadline: monotonic time by which its answer is owed.
-    :param future: takes the permit or the failure.
+    :param deadline: monotonic time by which its answer is due, in seconds.
+    :param future: resolves to the permit or the failure.
     """
 
     __slots__ = ('bulk', 'deadline', 'flow', 'future', 'arrival', 'timer')
@@ -36,16 +36,16 @@
 
 
 class Flow:
-    """What one customer runs and has waiting at one service.
+    """Running and waiting requests of one customer at one service.
 
     :param customer: the customer, or ``manifest.OTHER``.
     :param weight: its share relative to other customers.
-    :param max_running: requests that it may run at once on this node, 0 for
-        any number.
+    :param max_running: requests that may run at once on this node; 0 for no
+        limit.
     """
 
-    # Plain lists: an empty deque costs ten times the memory, and a queue is
-    # short enough to shift.
+    # Waiters are kept in lists: an empty deque takes ten times the memory, and
+    # the queues are short enough to remove from the front.
     __slots__ = (
         'bulk',
         'max_running',
@@ -63,32 +63,36 @@
         self.weight = weight
         self.max_running = max_running
         self.running = 0
-        # Virtual time at which its next request is due.
+        # Virtual start time of its next request.
         self.start_tag = 0.0
         self.short: list[Waiter] = []
         self.bulk: list[Waiter] = []
 
     @property
     def waiting(self) -> int:
-        """Return how many of the customer's requests wait."""
+        """Return the number of waiting requests."""
         return len(self.short) + len(self.bulk)
 
     def at_limit(self) -> bool:
-        """Tell whether the customer runs as much as it may."""
+        """Return whether the customer's limit is reached."""
         return 0 < self.max_running <= self.running
 
     def head(self, short: bool, bulk: bool) -> Waiter | None:
-        """Return the oldest waiter of the kinds asked for."""
-        first = self.short[0] if short and self.short else None
-        other = self.bulk[0] if bulk and self.bulk else None
-        if first is None or other is None:
-            return first or other
-        return first if first.arrival < other.arrival else other
+        """Return the oldest waiter of the given kinds."""
+        oldest_short = self.short[0] if short and self.short else None
+        oldest_bulk = self.bulk[0] if bulk and self.bulk else None
+        if oldest_short is None or oldest_bulk is None:
+            return oldest_short or oldest_bulk
+        return (
+            oldest_short
+            if oldest_short.arrival < oldest_bulk.arrival
+            else oldest_bulk
+        )
 
     def newest(self) -> Waiter:
-        """Return the waiter that came last."""
-        lasts = [line[-1] for line in (self.short, self.bulk) if line]
-        return max(lasts, key=lambda waiter: waiter.arrival)
+        """Return the waiter that arrived last."""
+        last = [queue[-1] for queue in (self.short, self.bulk) if queue]
+        return max(last, key=lambda waiter: waiter.arrival)
 
 
 class FairQueue:
@@ -102,7 +106,7 @@
         self.backlogged: dict[str, Flow] = {}
 
     def push(self, waiter: Waiter) -> None:
-        """Add a waiter behind those of its customer."""
+        """Append a waiter to the flow of its customer."""
         flow = waiter.flow
         if not flow.waiting:
             flow.start_tag = max(self.virtual_time, flow.start_tag)
@@ -114,12 +118,12 @@
         self.short_size += not waiter.bulk
 
     def remove(self, waiter: Waiter) -> bool:
-        """Take a waiter out; False when it no longer stands here."""
+        """Remove a waiter; return whether it was in the queue."""
         flow = waiter.flow
-        line = flow.bulk if waiter.bulk else flow.short
-        if waiter not in line:
+        queue = flow.bulk if waiter.bulk else flow.short
+        if waiter not in queue:
             return False
-        line.remove(waiter)
+        queue.remove(waiter)
         self.size -= 1
         self.short_size -= not waiter.bulk
         if not flow.waiting:
@@ -127,7 +131,7 @@
         return True
 
     def pick(self, short: bool, bulk: bool) -> Waiter | None:
-        """Return the waiter that is next, leaving it in its place.
+        """Return the next waiter without removing it.
 
         :param short: whether short requests may start now.
         :param bulk: whether long transfers may start now.
@@ -146,22 +150,22 @@
     def charge(self, flow: Flow, cost: float) -> None:
         """Charge a flow for a request that starts now.
 
-        :param cost: the slot time expected, in seconds.
+        :param cost: the expected slot time in seconds.
         """
         self.virtual_time = max(flow.start_tag, self.virtual_time)
         flow.start_tag = self.virtual_time + cost / flow.weight
 
     def settle(self, flow: Flow, difference: float) -> None:
-        """Charge what a request held its slot longer than expected.
+        """Charge the difference between actual and expected slot time.
 
-        :param difference: in seconds; negative gives back.
+        :param difference: in seconds; a negative one is refunded.
         """
         flow.start_tag += difference / flow.weight
 
     def longest(self, newcomer: Flow) -> Flow:
-        """Return the flow with the longest queue for its weight.
+        """Return the flow with the most waiting requests for its weight.
 
-        A request of ``newcomer`` about to be pushed counts as waiting.
+        The next request of ``newcomer`` counts as waiting.
         """
 
         def _length(flow: Flow) -> float:
@@ -170,11 +174,11 @@
         return max([newcomer, *self.backlogged.values()], key=_length)
 
     def waiters(self) -> typing.Iterator[Waiter]:
-        """Yield all waiters, customer by customer."""
+        """Yield all waiters, grouped by customer."""
         for flow in list(self.backlogged.values()):
             yield from [*flow.short, *flow.bulk]
 
     def weight(self, flow: Flow) -> float:
-        """Return the weight of all backlogged flows and ``flow``."""
+        """Return the total weight of the backlogged flows and ``flow``."""
         total = sum(other.weight for other in self.backlogged.values())
         return total if flow.waiting else total + flow.weight
--- a/carawaystair/admission/gate.py
+++ b/carawaystair/admission/gate.py
@@ -1,4 +1,4 @@
-"""The slots and the queue of one service on this node."""
+"""The admission gate of one service: its slots and its queue."""
 
 import asyncio
 import math
@@ -14,34 +14,33 @@
 from carawaystair import interfaces
 from carawaystair import invariants
 
-# A fractional slot rests between two requests, but no longer than this.
+# Maximum rest of a fractional slot between two requests, in seconds.
 MAX_REST_S = 5.0
-# Smallest fraction of a slot that a node may use.
+# Smallest fraction of a slot that is used.
 MIN_LIMIT = 0.02
-# Little runs when the limit is this many times as high.
+# Load is low while the limit is at least this many times what runs.
 LOW_LOAD_FACTOR = 2
 # Weight of a new sample in the mean number of short requests.
 DEMAND_SMOOTHING = 1 / 64
-# Charged for a request as long as no other has shown its time.
+# Slot time charged for a request before the first measurement, in seconds.
 INITIAL_COST_S = 0.05
-# Bounds of what callers are told in Retry-After.
+# Bounds of Retry-After in seconds.
 MIN_RETRY_S = 1.0
 MAX_RETRY_S = 30.0
 
-# Codes after which a caller may be told when to come back.
 Result = expression.Result[interfaces.Permit, codes.Failure]
 
 
 class Permit:
-    """Leave to run one request, see ``interfaces.Permit``.
+    """Permission to run one request, see ``interfaces.Permit``.
 
-    :param gate: where it came from.
+    :param gate: the gate that issued it.
     :param flow: the customer's flow that it is charged to.
     :param bulk: whether it is a long transfer.
     :param fractional: whether it holds the fractional slot.
-    :param low_load: whether little ran when it began.
+    :param low_load: whether load was low when it started.
     :param cost: slot time charged at its start, in seconds.
-    :param started: monotonic time of its start.
+    :param started: monotonic time of its start, in seconds.
     """
 
     __slots__ = (
@@ -73,16 +72,19 @@
         self.started = started
 
     def release(self, outcome: str, latency_s: float) -> None:
-        """Give the slot back with what the request showed.
+        """Return the slot and report the outcome of the request.
 
         :param outcome: a constant of ``interfaces``, such as ``GOOD``.
-        :param latency_s: from the first byte sent to the last received.
+        :param latency_s: seconds from the first byte sent to the last
+            received.
         """
         gate, self.gate = self.gate, None
-        # A slot given back twice would let more run than there are slots,
-        # and would show only as sheds of upstreams.
+        # A slot that is returned twice would let more requests run than there
+        # are slots, and would show only as requests shed by upstreams.
         if invariants.check(
-            invariants.SLOT_ACCOUNTING, gate is not None, 'released twice'
+            invariants.SLOT_ACCOUNTING,
+            gate is not None,
+            'permit released twice',
         ):
             gate.finish(self, outcome, latency_s)
 
@@ -90,11 +92,11 @@
 class Gate:
     """The slots and the queue of one service on this node.
 
-    :param service: its name.
-    :param flow: makes the flow of a customer, by name; unknown customers
-        get one and the same flow.
-    :param queue_limit: requests that may wait.
-    :param report: called as ``report(kind, text)`` for the time line.
+    :param service: name of the service.
+    :param flow: creates the flow of a customer by name; all unknown customers
+        share one flow.
+    :param queue_limit: number of requests that may wait.
+    :param report: called as ``report(kind, text)`` to record an event.
     """
 
     def __init__(
@@ -114,7 +116,7 @@
             False: hold_time.HoldTime(),
             True: hold_time.HoldTime(),
         }
-        # The slots due to this node, and what is used of them.
+        # The share of the slots allotted to this node, and the limit in use.
         self.share = 0.0
         self.limiter: limiter.Limiter | None = None
         self.limit = 0.0
@@ -122,7 +124,7 @@
         self.running = 0
         self.running_bulk = 0
         self.running_fractional = 0
-        # Short requests that run or wait, in the mean over starts.
+        # Mean number of running and waiting short requests, sampled at starts.
         self.short_demand = 0.0
         self.rest_until = 0.0
         self.rest_timer: asyncio.TimerHandle | None = None
@@ -136,7 +138,7 @@
     def try_start(
         self, customer: str, deadline: float, bulk: bool
     ) -> Permit | None:
-        """Start a request at once when a slot is free and nobody waits."""
+        """Start a request if a slot is free and no request waits."""
         if self.queue.size:
             return None
         now = clock.now()
@@ -167,8 +169,8 @@
         flow = self.flows.get(customer)
         if flow is None:
             flow = self.make_flow(customer)
-            # An unknown customer shares a flow that may be here already;
-            # its own name is not kept, or callers could fill the memory.
+            # An unknown customer shares a flow that may exist already.  Its
+            # name is not kept, so that callers can't exhaust memory.
             flow = self.flows.setdefault(flow.customer, flow)
         return flow
 
@@ -190,7 +192,7 @@
     def _refusal(
         self, flow: fair_queue.Flow, deadline: float, bulk: bool, now: float
     ) -> codes.Failure | None:
-        """Return why a request can't even wait, or None."""
+        """Return the failure of a request that may not wait, or None."""
         if deadline <= now:
             return self.refuse(codes.DEADLINE_PASSED, flow)
         if self._would_miss_deadline(deadline, bulk, now):
@@ -205,28 +207,28 @@
     def _would_miss_deadline(
         self, deadline: float, bulk: bool, now: float
     ) -> bool:
-        """Tell whether a request is too late even if it starts now.
+        """Return whether a request would be late even if it started now.
 
-        While nothing runs it never is: otherwise one bad estimate would
-        refuse all work, and no answer would ever correct it.
+        While nothing runs, only the deadline itself counts.  Otherwise a wrong
+        estimate would refuse all requests, and no answer could correct it.
         """
         if not self.running:
             return deadline <= now
         return now + self.hold_times[bulk].median >= deadline
 
     def _make_room(self, flow: fair_queue.Flow) -> codes.Failure | None:
-        """Push out the newest of the longest queue, or refuse.
+        """Drop the newest waiter of the longest flow, or refuse.
 
-        Dropping from the longest queue (McKenney, 1990) keeps a customer
-        that fills the queue from shutting out the others.
+        Dropping from the longest flow (McKenney, 1990) keeps a customer that
+        fills the queue from shutting out the others.
         """
         longest = self.queue.longest(flow)
         alone = len(self.queue.backlogged) == 1 and flow.waiting
         code = codes.QUEUE_FULL if alone else codes.CUSTOMER_QUEUE_FULL
         if longest is flow:
             return self.refuse(code, flow)
-        victim = longest.newest()
-        self._fail(victim, codes.CUSTOMER_QUEUE_FULL)
+        newest = longest.newest()
+        self._fail(newest, codes.CUSTOMER_QUEUE_FULL)
         return None
 
     def refuse(self, code: codes.Code, flow: fair_queue.Flow) -> codes.Failure:
@@ -245,7 +247,7 @@
     ) -> fair_queue.Waiter:
         loop = asyncio.get_running_loop()
         waiter = fair_queue.Waiter(flow, bulk, deadline, loop.create_future())
-        # From then on it could not finish in time any more.
+        # A later start would miss the deadline.
         latest = deadline - self.hold_times[bulk].median
         waiter.timer = loop.call_at(latest, self._expire, waiter)
         self.queue.push(waiter)
@@ -256,22 +258,22 @@
         self._fail(waiter, codes.DEADLINE_PASSED)
 
     def _fail(self, waiter: fair_queue.Waiter, code: codes.Code) -> None:
-        """Give a waiter its final answer."""
+        """Remove a waiter and refuse its request."""
         self._dequeue(waiter)
         if not waiter.future.done():
             failure = self.refuse(code, waiter.flow)
             waiter.future.set_result(expression.Error(failure))
 
     def _dequeue(self, waiter: fair_queue.Waiter) -> None:
-        """Take a waiter out of the queue."""
+        """Remove a waiter and cancel its timer."""
         self.queue.remove(waiter)
         waiter.timer.cancel()
 
     def _abandon(self, waiter: fair_queue.Waiter) -> None:
-        """Free the place of a caller that went away.
+        """Remove the waiter of a caller that went away.
 
-        It may have been given a slot just before: that would be lost for
-        good if nobody gave it back.
+        If it got a slot just before, the slot is released; it would be lost
+        otherwise.
         """
         self._dequeue(waiter)
         future = waiter.future
@@ -283,12 +285,12 @@
             future.result().ok.release(interfaces.CANCELLED, 0.0)
 
     def fail_all(self, code: codes.Code) -> None:
-        """Refuse everyone who waits, as this node stops."""
+        """Refuse all waiting requests."""
         for waiter in self.queue.waiters():
             self._fail(waiter, code)
 
     def dispatch(self) -> None:
-        """Start those whose turn it is while there are slots."""
+        """Start waiting requests in fair order while slots are free."""
         now = clock.now()
         while self.queue.size and self._slot_free(now):
             waiter = self.queue.pick(
@@ -303,7 +305,7 @@
         self._schedule_rest_end(now)
 
     def _schedule_rest_end(self, now: float) -> None:
-        """Come back when the fractional slot has rested."""
+        """Dispatch again at the end of the fractional slot's rest."""
         if (
             self.queue.size
             and self.rest_until > now
@@ -319,16 +321,17 @@
     # Slots
 
     def set_share(self, share: float) -> None:
-        """Change the slots that are due to this node.
+        """Set the share of the slots allotted to this node.
 
-        :param share: slots; a fraction is used for that part of the time.
+        :param share: number of slots; a fraction of a slot is used for that
+            part of the time.
         """
         self.share = share
         factor = self.limiter.factor if self.limiter is not None else 1.0
         self._set_limit(factor)
 
     def _set_limit(self, factor: float) -> None:
-        """Use a multiple of the share, but no less than one slot of it."""
+        """Set the limit to a multiple of the share, but keep one slot."""
         self.limit = max(self.share * factor, min(self.share, 1.0))
         self.whole_slots = int(self.limit)
         if self.queue.size:
@@ -337,7 +340,7 @@
     def _update_limit(
         self, permit: Permit, outcome: str, latency_s: float
     ) -> None:
-        """Let answers show how many slots there truly are."""
+        """Adapt the limit to the outcome of a request."""
         now = clock.now()
         if self.limiter is None:
             self.limiter = limiter.Limiter(now)
@@ -350,7 +353,7 @@
             self._set_limit(self.limiter.update(now))
 
     def _slot_free(self, now: float) -> bool:
-        """Tell whether a slot is free."""
+        """Return whether a slot is free."""
         if self.running - self.running_fractional < self.whole_slots:
             return True
         fraction = self.limit - self.whole_slots
@@ -358,12 +361,12 @@
         return fraction >= MIN_LIMIT and free
 
     def _kind_may_start(self, bulk: bool) -> bool:
-        """Tell whether one more request of this kind may run.
+        """Return whether one more request of this kind may run.
 
-        Long transfers would hold every slot for seconds while short queries
-        wait.  So they leave free what short requests were measured to need,
-        with one standard deviation of a Poisson number on top, and at least
-        one slot.
+        Long transfers could hold every slot for seconds while short requests
+        wait.  So they leave free the measured number of slots that short
+        requests need plus one standard deviation of a Poisson distribution,
+        and at least one slot.
         """
         if not bulk:
             return True
@@ -386,12 +389,12 @@
         return Permit(self, flow, bulk, fractional, low_load, cost, now)
 
     def finish(self, permit: Permit, outcome: str, latency_s: float) -> None:
-        """Take a slot back and give it to the next in turn."""
+        """Take a slot back and learn from the outcome."""
         held = clock.now() - permit.started
         times = self.hold_times[permit.bulk]
         if outcome == interfaces.SHED and times.mean > held:
-            # An upstream had no such slot.  Were it free at once, the next
-            # in turn would be shed too, and a whole queue within moments.
+            # The upstream had no such slot.  If the slot were free at once,
+            # the next request would be shed too, and then the whole queue.
             loop = asyncio.get_running_loop()
             loop.call_later(times.mean - held, self._free, permit, 0.0)
         else:
@@ -404,9 +407,9 @@
             self._update_limit(permit, outcome, latency_s)
 
     def _free(self, permit: Permit, held: float) -> None:
-        """Give a slot to the next in turn.
+        """Free a slot and start the next request.
 
-        :param held: slot time that the customer is charged, in seconds.
+        :param held: slot time charged to the customer, in seconds.
         """
         permit.flow.running -= 1
         self.running -= 1
@@ -418,7 +421,7 @@
             self.dispatch()
 
     def _rest(self, held: float, now: float) -> None:
-        """Let the fractional slot rest, so that its mean use is right."""
+        """Let the fractional slot rest for the unused part of its time."""
         self.running_fractional -= 1
         fraction = max(self.limit - self.whole_slots, MIN_LIMIT)
         rest = held * (1 - fraction) / fraction
--- a/carawaystair/admission/hold_time.py
+++ b/carawaystair/admission/hold_time.py
@@ -1,22 +1,22 @@
-"""How long requests hold a slot, learned from those that ran."""
+"""Estimate of how long requests hold a slot."""
 
 # Weight of a new sample in the moving mean.
 SMOOTHING = 1 / 16
-# Step by which the median estimate follows a sample, as a factor.
+# Factor by which a sample moves the estimate of the median.
 MEDIAN_STEP = 1.05
-# A service that has shown nothing yet is taken to answer in no time: a
-# guess must never refuse work.
+# Before the first sample a service is assumed to answer in no time, so that
+# requests are never refused on a guess.
 INITIAL_S = 0.0
-# Least time taken for the mean, so that rates stay finite.
+# Minimum of the estimates, so that rates stay finite.
 MIN_S = 0.0001
 
 
 class HoldTime:
-    """The time for which requests of one kind hold a slot.
+    """Mean and median time for which requests of one kind hold a slot.
 
-    The mean counts every request that held a slot, since each kept others
-    waiting.  The median counts good answers only and tells what a request
-    can hope for: half of them are quicker.
+    The mean, in seconds, includes every request that held a slot, since each
+    kept others waiting.  The median, in seconds, includes good answers only:
+    it is the time in which half of them arrive.
     """
 
     __slots__ = ('mean', 'median')
@@ -26,7 +26,7 @@
         self.median = INITIAL_S
 
     def record_hold(self, seconds: float) -> None:
-        """Take note of how long a slot was held."""
+        """Record how long a slot was held."""
         if not self.mean:
             self.mean = max(seconds, MIN_S)
             return
@@ -34,7 +34,7 @@
         self.mean = max(self.mean, MIN_S)
 
     def record_answer(self, seconds: float) -> None:
-        """Take note of the latency of a good answer.
+        """Record the latency of a good answer.
 
         Steps up and down by the same factor leave as many samples above as
         below (stochastic approximation; Robbins and Monro, 1951).
--- a/carawaystair/admission/limiter.py
+++ b/carawaystair/admission/limiter.py
@@ -1,49 +1,49 @@
-"""Adaptive concurrency: how many of the announced slots are worth using.
-
-Upstreams announce their slots, but the number may mislead.  What answers show
-corrects it, by additive increase and multiplicative decrease (Chiu and Jain,
-1989).  The signal for less is the share of requests that upstreams shed.
-More than the announced slots are tried only on proof that latency is low:
-its gradient, that is the median now over the median of requests that began
-while little ran (after TCP Vegas; Brakmo and Peterson, 1995).
-
-A high gradient alone never lowers the limit below the announced slots: a
-service that became slower would be throttled for nothing, and the gain where
-requests queue inside upstreams measured as none (docs/design/admission.md).
+"""Adaptive concurrency limit, relative to the announced slots.
+
+Upstreams announce their slots, but the number may be wrong.  The answers
+correct it, by additive increase and multiplicative decrease (Chiu and Jain,
+1989).  The limit is lowered when upstreams shed a large share of requests.  It
+is raised above the announced slots only while latency is low, as measured by
+its gradient: the present median over the median of requests that began at low
+load (after TCP Vegas; Brakmo and Peterson, 1995).
+
+A high gradient alone never lowers the limit below the announced slots.  A
+service that became slower would be throttled for nothing, and where requests
+queue inside upstreams nothing is gained (docs/design/admission.md).
 """
 
 from carawaystair.admission import hold_time
 
-# A window takes at least so many answers and so many seconds.
+# Minimum number of answers and of seconds in a window.
 WINDOW_ANSWERS = 100
 WINDOW_S = 0.2
-# Sheds above this share mean that there are fewer slots than are used.
-# Below it they come from several nodes that choose the same upstream.
+# A larger share of sheds means that there are fewer slots than are used.
+# Smaller shares come from several nodes that choose the same upstream.
 SHED_HIGH = 0.2
-# The limit grows only while sheds stay below this share.
+# The limit grows only below this share of sheds.
 SHED_LOW = 0.05
-# The same bounds beyond the announced slots.
+# The same shares above the announced slots.
 SHED_HIGH_BEYOND = 0.02
 SHED_LOW_BEYOND = 0.01
-# The limit goes beyond the announced slots only while latency stays below
-# this multiple of that when little runs, and comes back above the other.
+# The limit is raised above the announced slots only below the first gradient,
+# and returns to them above the second.
 GRADIENT_LOW = 1.2
 GRADIENT_HIGH = 1.5
-# So long the announced slots are kept to after more of them failed.
+# Time in seconds before more than the announced slots are tried again.
 HOLD_S = 30.0
 DECREASE = 0.9
-# Growth in a window, as a part of the announced slots.
+# Growth in a window, as a share of the announced slots.
 INCREASE = 0.05
-# Greatest and least multiple of the announced slots.
+# Maximum and minimum multiple of the announced slots.
 FACTOR_MAX = 2.0
 FACTOR_MIN = 0.1
 
 
 class Limiter:
-    """The multiple of its slots that a gate may use.
+    """Limits the slots that a gate uses.
 
-    :ivar factor: that multiple, 1.0 at first.
-    :ivar low_load_latency: latency of requests that began while little ran.
+    :ivar factor: the limit as a multiple of the announced slots.
+    :ivar low_load_latency: latency of requests that began at low load.
     """
 
     __slots__ = (
@@ -68,10 +68,11 @@
     def record_answer(
         self, latency_s: float, low_load: bool, saturated: bool
     ) -> None:
-        """Take note of a good answer.
+        """Record a good answer.
 
-        :param low_load: whether it began while little ran.
-        :param saturated: whether others wait for the limit now.
+        :param latency_s: its latency in seconds.
+        :param low_load: whether the request began at low load.
+        :param saturated: whether other requests wait for a slot.
         """
         self.latencies.append(latency_s)
         self.saturated = self.saturated or saturated
@@ -79,11 +80,11 @@
             self.low_load_latency.record_answer(latency_s)
 
     def record_shed(self) -> None:
-        """Take note that an upstream refused a request before running it."""
+        """Record that an upstream refused a request without running it."""
         self.sheds += 1
 
     def due(self, now: float) -> bool:
-        """Tell whether the window is full."""
+        """Return whether the window is complete."""
         answers = len(self.latencies) + self.sheds
         return (
             answers >= WINDOW_ANSWERS and now - self.window_start >= WINDOW_S
@@ -107,7 +108,7 @@
         return self.factor
 
     def _update_beyond_announced(self, now: float, sheds: float) -> None:
-        """Go on beyond the announced slots, or come back."""
+        """Update a factor above 1: grow, or return to the announced slots."""
         if sheds > SHED_HIGH_BEYOND or self._gradient() > GRADIENT_HIGH:
             self.factor = 1.0
             self.hold_until = now + HOLD_S
@@ -115,14 +116,12 @@
             self._grow(now)
 
     def _grow(self, now: float) -> None:
-        proven = (
-            self.low_load_latency.median and self._gradient() < GRADIENT_LOW
-        )
-        if proven and now >= self.hold_until:
+        low = self.low_load_latency.median and self._gradient() < GRADIENT_LOW
+        if latency_low and now >= self.hold_until:
             self.factor = min(self.factor + INCREASE, FACTOR_MAX)
 
     def _gradient(self) -> float:
-        """Return the median of the window over that when little runs."""
+        """Return the median latency of the window over that at low load."""
         if not self.latencies or not self.low_load_latency.median:
             return 1.0
         return (
