--- a/carawaystair/admission/limiter.py
+++ b/carawaystair/admission/limiter.py
@@ -116,7 +116,9 @@
             self._grow(now)
 
     def _grow(self, now: float) -> None:
-        low = self.low_load_latency.median and self._gradient() < GRADIENT_LOW
+        latency_low = (
+            self.low_load_latency.median and self._gradient() < GRADIENT_LOW
+        )
         if latency_low and now >= self.hold_until:
             self.factor = min(self.factor + INCREASE, FACTOR_MAX)
 
