--- a/test/test_admission_gate.py
+++ b/test/test_admission_gate.py
@@ -1,4 +1,4 @@
-"""Slots and queue of one service on one node."""
+"""The slots and the queue of one service on one node."""
 
 import asyncio
 import types
@@ -21,13 +21,13 @@
 
 
 class _Health:
-    """Nothing is ejected unless a test says so."""
+    """Health without ejections unless a test sets some."""
 
     def __init__(self):
-        self.out = frozenset()
+        self.ejected_ids = frozenset()
 
     def ejected(self, _service):
-        return self.out
+        return self.ejected_ids
 
     def weight(self, _upstream):
         return 1.0
@@ -53,7 +53,7 @@
 
 
 def _node(slots=2, queue=8, **customers):
-    """Return an admission part of the only node, with one upstream."""
+    """Return the admission control of a single node with one upstream."""
     customers = customers or {'big': (1,), 'small': (1,)}
     current = _routing(queue, **customers)
     members = fakes.Members(fakes.member(0), ())
@@ -67,15 +67,17 @@
     )
 
 
-async def _request(node, customer, done, patience=9.0, bulk=False, hold=0.1):
-    """Run one request and note its end in ``done``."""
-    deadline = clock.now() + patience
+async def _request(
+    node, customer, done, timeout_s=9.0, bulk=False, hold_s=0.1
+):
+    """Run one request and append its result to ``done``."""
+    deadline = clock.now() + timeout_s
     result = await node.admit(SERVICE, customer, deadline, bulk)
     if result.is_error():
         done.append((customer, result.error.code, clock.now()))
         return
-    await asyncio.sleep(hold)
-    result.ok.release(interfaces.GOOD, hold)
+    await asyncio.sleep(hold_s)
+    result.ok.release(interfaces.GOOD, hold_s)
     done.append((customer, codes.OK, clock.now()))
 
 
@@ -101,14 +103,10 @@
     assert ends == [0.1, 0.1, 0.2, 0.2, 0.3, 0.3]
 
 
-def test_borrowed_slots_come_back_within_one_service_time():
-    """Others wait behind the dominant customer.
-
-    Symptom: short answers of a small customer take as long as the whole
-    queue of the dominant one.
-    Sequence: the dominant customer takes every slot and fills the queue;
-    then the small one asks.
-    Cause: a queue in order of arrival.
+def test_small_customer_gets_slots_within_one_service_time():
+    """Guards against a queue in order of arrival: while a dominant customer
+    holds every slot and fills the queue, a small one would wait for its whole
+    queue.
     """
 
     async def _main():
@@ -143,7 +141,7 @@
 def test_long_requests_are_charged_for_their_time():
     async def _main():
         node, done = _node(1, 100), []
-        tasks = _start(node, 'big', done, 40, hold=0.3)
+        tasks = _start(node, 'big', done, 40, hold_s=0.3)
         tasks += _start(node, 'small', done, 40)
         await asyncio.sleep(6.0)
         for task in tasks:
@@ -154,12 +152,9 @@
     assert 2 <= names.count('small') / names.count('big') <= 4
 
 
-def test_a_full_queue_pushes_out_the_longest():
-    """A customer that fills the queue shuts the others out.
-
-    Symptom: a small customer is refused though it has nothing waiting.
-    Sequence: the dominant customer fills the whole queue; a small one asks.
-    Cause: one bound for the whole queue, first come, first served.
+def test_full_queue_drops_from_the_longest_flow():
+    """Guards against a customer that fills the queue and so shuts out a small
+    one that has nothing waiting.
     """
 
     async def _main():
@@ -177,13 +172,9 @@
     assert [event.kind for event in node.timeline.ring].count('queue-full')
 
 
-def test_refused_at_once_when_the_deadline_cannot_be_met():
-    """A request waits in vain and its caller learns it late.
-
-    Symptom: callers with short deadlines get their refusal only when the
-    deadline is nearly over, and ask elsewhere too late.
-    Sequence: a queue builds up whose drain takes longer than the deadline.
-    Cause: only the deadline itself is looked at, not the queue ahead.
+def test_request_is_refused_at_once_if_it_would_miss_its_deadline():
+    """Guards against ignoring the queue ahead of a request: if it drains only
+    after the deadline, the caller must be refused in time to ask elsewhere.
     """
 
     async def _main():
@@ -192,7 +183,7 @@
         before = clock.now()
         tasks = _start(node, 'big', done, 8)
         await asyncio.sleep(0.01)
-        tasks += _start(node, 'big', done, 1, patience=0.3)
+        tasks += _start(node, 'big', done, 1, timeout_s=0.3)
         await asyncio.gather(*tasks)
         assert node.retry_after(SERVICE) >= 1
         return [d for d in done if d[1] is codes.DEADLINE_SHORT], before
@@ -201,20 +192,18 @@
     assert [round(time - before, 3) for _n, _c, time in refused] == [0.01]
 
 
-def test_final_answer_as_soon_as_waiting_is_in_vain():
-    """Symptom: a given-up request starts all the same, for nobody.
-
-    Sequence: a request waits behind one that takes unexpectedly long.
-    Cause: nobody looks at the deadline of those who wait.
+def test_waiting_request_is_refused_once_it_would_miss_its_deadline():
+    """Guards against starting requests whose caller has given up, behind one
+    that takes unexpectedly long.
     """
 
     async def _main():
         node, done = _node(1, 100), []
         await asyncio.gather(*_start(node, 'big', done, 2))
         before = clock.now()
-        tasks = _start(node, 'big', done, 1, hold=5.0)
+        tasks = _start(node, 'big', done, 1, hold_s=5.0)
         await asyncio.sleep(0)
-        tasks += _start(node, 'small', done, 1, patience=0.5)
+        tasks += _start(node, 'small', done, 1, timeout_s=0.5)
         await asyncio.gather(*tasks)
         return done[2], before
 
@@ -223,18 +212,16 @@
     assert time - before == pytest.approx(0.4, abs=0.01)
 
 
-def test_a_bad_estimate_does_not_lock_out_all_work():
-    """Symptom: a service refuses everything though it is idle and well.
-
-    Sequence: a few answers take very long, then the upstreams recover.
-    Cause: refusals by an estimate that only answers could correct.
+def test_wrong_estimate_does_not_refuse_all_requests():
+    """Guards against an idle service that refuses everything: after a few very
+    slow answers, only further answers can correct the estimate.
     """
 
     async def _main():
         node, done = _node(2), []
-        await asyncio.gather(*_start(node, 'big', done, 2, hold=5.0))
+        await asyncio.gather(*_start(node, 'big', done, 2, hold_s=5.0))
         for _round in range(80):
-            tasks = _start(node, 'small', done, 1, patience=1.0)
+            tasks = _start(node, 'small', done, 1, timeout_s=1.0)
             await asyncio.gather(*tasks)
         return _names(done[2:])
 
@@ -242,12 +229,9 @@
 
 
 @pytest.mark.parametrize('granted', (False, True))
-def test_a_caller_that_goes_away_frees_its_place(granted):
-    """Symptom: a service's slots shrink by the hour.
-
-    Sequence: a waiting caller goes away, in one case in the very moment in
-    which it is given a slot.
-    Cause: the slot given to nobody is never given back.
+def test_caller_that_goes_away_frees_its_place(granted):
+    """Guards against slots that are lost when a waiting caller goes away, in
+    one case just as its request gets a slot.
     """
 
     async def _main():
@@ -267,7 +251,7 @@
     assert (size, running, _names(done)) == (0, 0, ['big'])
 
 
-def test_a_permit_comes_back_once():
+def test_permit_is_released_only_once():
     async def _main():
         node = _node(1)
         permit = node.try_admit(SERVICE, 'big', clock.now() + 1, False)
@@ -278,13 +262,13 @@
         fakes.run(_main())
 
 
-def test_unknown_customers_share_one_class():
+def test_unknown_customers_share_one_flow():
     async def _main():
         node, done = _node(1, 100), []
         tasks = _start(node, 'small', done, 1)
         await asyncio.sleep(0)
         for number in range(20):
-            tasks += _start(node, 'stranger-%d' % number, done, 1)
+            tasks += _start(node, 'unknown-%d' % number, done, 1)
         tasks += _start(node, 'small', done, 5)
         await asyncio.gather(*tasks)
         return _names(done), node.gates[SERVICE].flows
@@ -294,7 +278,7 @@
     assert sorted(kept) == [manifest.OTHER, 'small']
 
 
-def test_a_customer_limit_holds_while_slots_are_free():
+def test_customer_limit_holds_while_slots_are_free():
     async def _main():
         node, done = _node(4, big=(1, 2), small=(1,)), []
         tasks = _start(node, 'big', done, 4) + _start(node, 'small', done, 2)
@@ -306,16 +290,14 @@
     assert done.count(('small', 0.1)) == 2
 
 
-def test_bulk_leaves_slots_to_short_requests():
-    """Symptom: status queries stand still while bundles download.
-
-    Sequence: as many downloads as there are slots begin; queries come.
-    Cause: a long transfer holds its slot for seconds.
+def test_long_transfers_leave_slots_to_short_requests():
+    """Guards against long transfers that hold every slot for seconds while
+    short requests wait.
     """
 
     async def _main():
         node, done = _node(4), []
-        tasks = _start(node, 'big', done, 6, bulk=True, hold=5.0)
+        tasks = _start(node, 'big', done, 6, bulk=True, hold_s=5.0)
         await asyncio.sleep(0.05)
         tasks += _start(node, 'small', done, 2)
         await asyncio.sleep(2 * SERVICE_S + 0.05)
@@ -327,18 +309,16 @@
     assert fakes.run(_main()) == ['small', 'small']
 
 
-def test_bulk_leaves_as_many_slots_as_short_requests_need():
-    """Symptom: queries queue up whenever a batch of downloads begins.
-
-    Sequence: queries keep four of eight slots busy; downloads come.
-    Cause: one fixed reserve for whatever short requests need.
+def test_long_transfers_leave_the_slots_that_short_requests_need():
+    """Guards against a fixed reserve: short requests that use four of eight
+    slots would queue whenever a batch of downloads begins.
     """
 
     async def _main():
         node, done = _node(8, 100), []
         for _round in range(20):
             await asyncio.gather(*_start(node, 'small', done, 5))
-        tasks = _start(node, 'big', done, 9, bulk=True, hold=5.0)
+        tasks = _start(node, 'big', done, 9, bulk=True, hold_s=5.0)
         await asyncio.sleep(0)
         running = node.gates[SERVICE].running_bulk
         for task in tasks:
@@ -348,13 +328,13 @@
     assert 3 <= fakes.run(_main()) <= 5
 
 
-def test_a_fraction_of_a_slot_is_used_for_that_part_of_the_time():
+def test_fraction_of_a_slot_is_used_for_that_part_of_the_time():
     async def _main():
         node, done = _node(1, 100), []
         tasks = _start(node, 'big', done, 1)
         await asyncio.sleep(0)
         node.gates[SERVICE].set_share(0.25)
-        tasks += _start(node, 'big', done, 30, patience=99.0)
+        tasks += _start(node, 'big', done, 30, timeout_s=99.0)
         await asyncio.sleep(8.0)
         for task in tasks:
             task.cancel()
@@ -372,7 +352,7 @@
             limits = [gate.limit]
             node.directory.put(_upstream(1, 4))
             limits.append(gate.limit)
-            node.health.out = frozenset(('up-0',))
+            node.health.ejected_ids = frozenset(('up-0',))
             current = _routing(3, big=(5,))
             node.routing = lambda: current
             await asyncio.sleep(1.0)
@@ -383,7 +363,7 @@
     assert (limits, queue, weight) == ([4, 8, 4], 3, 5)
 
 
-def test_no_upstream_is_said_at_once_and_a_stop_answers_all():
+def test_missing_upstream_and_stop_are_reported_at_once():
     async def _main():
         node, done = _node(1), []
         async with node:
