--- a/test/test_load_pacing.py
+++ b/test/test_load_pacing.py
@@ -10,7 +10,7 @@
 
 
 def replay(arrivals: list[tuple[float, int]]) -> list[float]:
-    """Send bodies over one link; return how long each durations, in seconds.
+    """Send bodies over one link; return how long each took, in seconds.
 
     :param arrivals: time at which each is ready, ascending, and its size.
     """
@@ -56,7 +56,7 @@
 
 
 def test_simultaneous_equal_bodies_do_not_share_the_link():
-    """Guards against sending chunks of equal bodies in body: ten answers that
+    """Guards against sending chunks of equal bodies in turn: ten answers that
     were ready at the same time were all late.
     """
     durations = replay([(0.0, DOWNLOAD)] * 10)
