--- a/carawaystair/gateway/__init__.py
+++ b/carawaystair/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""The path of a request in a fleet whose nodes are gateways.
+"""Request path of a fleet whose nodes are gateways.
 
-A caller's request goes to its own node, from there to the gateway beside the
-upstream that is to run it, and from that to the upstream.  The gateway is the
-only way to its upstream; ``docs/design/platform.md`` tells what follows.
+A request goes from its caller to the node on the caller's host, from there
+to the gateway beside the chosen upstream, and from that to the upstream.
+The gateway is the only way to its upstream; see ``docs/design/platform.md``.
 """
 
 import typing
@@ -21,14 +21,14 @@
     quarantine: interfaces.Quarantine,
     behind_s: typing.Callable[[], float] = lambda: 0.0,
 ) -> service.Gateway:
-    """Return the service that takes requests at a node with a gateway.
+    """Return the service that routes requests on a node with a gateway.
 
-    :param membership: the membership of the process.
+    :param membership: the membership service of the process.
     :param routing: returns the configuration in force.
-    :param recorder: takes note of decisions.
-    :param quarantine: knows requests that crash upstreams.
-    :param behind_s: returns since when a newer configuration is known,
-        seconds; 0.0 while none is.
+    :param recorder: records events.
+    :param quarantine: tracks requests that crash upstreams.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while there is none.
     """
     return service.Gateway(
         kernel, membership, routing, recorder, behind_s, quarantine
--- a/carawaystair/gateway/caller_handler.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests at a node with a gateway."""
+"""Handles callers' requests at a node with a gateway."""
 
 import asyncio
 import math
@@ -8,12 +8,12 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
-from carawaystair.gateway import dispatcher as relays
+from carawaystair.gateway import dispatcher as dispatchers
 from carawaystair.gateway import dispatches
-from carawaystair.gateway import nested_calls as inners
-from carawaystair.gateway import request_metrics as figures_module
+from carawaystair.gateway import nested_calls
+from carawaystair.gateway import request_metrics
 from carawaystair.gateway import splitting
-from carawaystair.gateway import startup as settlings
+from carawaystair.gateway import startup
 from carawaystair.gateway import streaming
 from carawaystair import interfaces
 from carawaystair import manifest
@@ -32,11 +32,11 @@
 from carawaystair import settings as settings_module
 
 MS = 1000
-# Of what callers send, so much is shown in a log line.
-MOST_SHOWN = 200
-ID = re.compile(r'[!-~]{1,128}')
+# Longest part of a caller's text in a log line.
+MAX_LOGGED_CHARS = 200
+REQUEST_ID_PATTERN = re.compile(r'[!-~]{1,128}')
 # Statuses that promise that a request was not run.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 NOT_RUN_STATUS = 503
 UNKNOWN_STATUS = 502
 
@@ -44,18 +44,18 @@
 class CallerHandler(handling.Handling):
     """Answers callers; one for each node.
 
-    :param settings: of the process.
-    :param prefix: begins the ids of requests that bring none.
+    :param settings: settings of the process.
+    :param prefix: prefix of the ids of requests that have none.
     :param routing: returns the configuration in force.
-    :param behind_s: returns since when a newer one is known, seconds; 0.0
-        while none is.
-    :param relay: sends requests to gateways.
-    :param settling: waits for a configuration right after the start.
-    :param splits: chooses among the services of a route.
-    :param inner: is told of failed calls of this host's upstreams.
-    :param meters: counts what callers are told.
-    :param figures: counts requests by route and outcome.
-    :param recorder: takes note of decisions.
+    :param behind_s: returns for how long a newer one has been known, seconds;
+        0.0 while there is none.
+    :param dispatcher: sends requests to gateways.
+    :param startup_wait: waits for a configuration right after the start.
+    :param splitter: chooses among the services of a route.
+    :param nested: tracks nested calls of this host's upstreams.
+    :param meters: counts outcomes of requests.
+    :param metrics: counts requests by route and outcome.
+    :param recorder: records events.
     """
 
     def __init__(
@@ -64,42 +64,42 @@
         prefix: str,
         routing: typing.Callable[[], routings.Routing],
         behind_s: typing.Callable[[], float],
-        relay: relays.Dispatcher,
-        settling: settlings.StartupWait,
-        splits: splitting.Splitter,
-        inner: inners.NestedCalls,
+        dispatcher: dispatchers.Dispatcher,
+        startup_wait: startup.StartupWait,
+        splitter: splitting.Splitter,
+        nested: nested_calls.NestedCalls,
         meters: meters_module.Meters,
-        figures: figures_module.RequestMetrics,
+        metrics: request_metrics.RequestMetrics,
         recorder: decisions.Recorder,
     ) -> None:
         super().__init__(prefix, 0.0, routing, behind_s, meters)
-        self.names = settings.headers
+        self.header_names = settings.headers
         self.service = settings.node.service
-        self.relay = relay
-        self.settling = settling
-        self.splits = splits
-        self.nested_calls = inner
-        self.figures = figures
+        self.dispatcher = dispatcher
+        self.startup_wait = startup_wait
+        self.splitter = splitter
+        self.nested_calls = nested
+        self.metrics = metrics
         self.recorder = recorder
-        # The configuration that was last read with, and since when.
-        self.version, self.version_at = rows.NONE, 0.0
-        # The tasks that answer callers now.
+        # The version of the configuration last used, and since when.
+        self.version, self.version_since = rows.NONE, 0.0
+        # Tasks that are answering a caller.
         self.tasks: set[asyncio.Task] = set()
-        # While the node stops: until when new requests are taken.
-        self.last_new: float | None = None
-        # These are ours to set; what a caller sends under them is dropped.
-        self.ours = frozenset(
+        # Set while the node stops: until when new requests are accepted.
+        self.accept_until: float | None = None
+        # Headers that nodes set themselves; those of callers are dropped.
+        self.own_headers = frozenset(
             name.lower().encode()
             for name in (
-                self.names.request_id,
-                self.names.deadline_ms,
-                self.names.upstream,
-                self.names.caller_service,
+                self.header_names.request_id,
+                self.header_names.deadline_ms,
+                self.header_names.upstream,
+                self.header_names.caller_service,
             )
         )
 
     def bounds(self) -> incoming.Bounds:
-        """Return what callers may send, by the configuration in force."""
+        """Return the limits on callers' requests, as configured."""
         limits = self.routing().limits
         return incoming.Bounds(
             limits.max_header_bytes,
@@ -108,15 +108,15 @@
         )
 
     def may_run_ahead(self, request: incoming.Request) -> bool:
-        """Tell whether a request may run before those in front of it on its
-        connection are answered.
+        """Return whether a pipelined request may run before its predecessors.
 
-        What may run once may not: if an answer in front of it closes the
-        connection, its caller takes it for not read and sends it again.  Nor
-        what carries long transfers: it would hold a slot for bytes that
-        can't be sent yet.  A node that stops begins nothing new.
+        Non-idempotent requests may not: if an earlier answer closes the
+        connection, the caller assumes that later requests were not read, and
+        sends them again.  Requests for long transfers may not either, since
+        they would hold a slot for data that can't be sent yet.  A node that
+        stops starts nothing ahead of time.
         """
-        if self.ends is not None or not self._bodiless(request):
+        if self.ends is not None or not self._has_no_body(request):
             return False
         try:
             place = caller.target(request)
@@ -130,7 +130,7 @@
             and self._idempotent(match.route, request)
         )
 
-    def _bodiless(self, request: incoming.Request) -> bool:
+    def _has_no_body(self, request: incoming.Request) -> bool:
         return bodies.declared(request) == 0 and (
             'Expect' not in request.headers
         )
@@ -143,54 +143,66 @@
         return route.idempotent
 
     def _name(self, request: incoming.Request) -> str:
-        """Return the caller's id of a request, or one of our own."""
-        given = request.headers.get(self.names.request_id, '')
-        return given if ID.fullmatch(given) else super()._name(request)
+        """Return the caller's id of a request, or a generated one."""
+        given = request.headers.get(self.header_names.request_id, '')
+        return (
+            given
+            if REQUEST_ID_PATTERN.fullmatch(given)
+            else super()._name(request)
+        )
 
     async def _answer(
         self, request: incoming.Request, exchange: exchanges.Exchange
     ) -> None:
-        began = request.arrived
-        await self.settling.wait(self._configured, math.inf)
+        started_at = request.arrived
+        await self.startup_wait.wait(self._configured, math.inf)
         routing = self.routing()
         if routing.version != self.version:
-            self.version, self.version_at = routing.version, began
+            self.version, self.version_since = routing.version, started_at
         try:
-            self._check_serving(routing, began)
-            trip = await self._read(request, exchange, routing, began)
+            self._check_serving(routing, started_at)
+            dispatch = await self._read(request, exchange, routing, started_at)
         except caller.Refused as refused:
-            self._tell_rejected(request, exchange.id, refused)
+            self._record_rejected(request, exchange.id, refused)
             raise
         task = asyncio.current_task()
         self.tasks.add(task)
         try:
-            await self._pass_on(trip, exchange, began)
+            await self._forward(dispatch, exchange, started_at)
         except caller.Refused as refused:
             outcome = codes.NOT_RUN
-            self._tell(trip, outcome, began, refused.code, refused.detail)
+            self._record_answer(
+                dispatch, outcome, started_at, refused.code, refused.detail
+            )
             raise
         except answers.Failed as failed:
             outcome = codes.UNKNOWN if failed.sent else codes.NOT_RUN
-            self._tell(trip, outcome, began, failed.code, failed.detail)
+            self._record_answer(
+                dispatch, outcome, started_at, failed.code, failed.detail
+            )
             raise
         except asyncio.CancelledError:
             if not request.connection.open or exchange.outcome is not None:
-                self._tell_left(trip, request, began)
+                self._record_left(dispatch, request, started_at)
                 raise
-            # This node stops, and its caller is still there.
+            # The node stops while the caller is still connected.
             asyncio.current_task().uncancel()
             failed = answers.Failed(
                 interfaces.CANCELLED, codes.ANSWER_LATE, True, 'node stopped'
             )
             outcome = codes.UNKNOWN
-            self._tell(trip, outcome, began, failed.code, failed.detail)
+            self._record_answer(
+                dispatch, outcome, started_at, failed.code, failed.detail
+            )
             raise failed from None
         except Exception as error:
             if request.connection.open and exchange.outcome is None:
                 code = codes.INVARIANT_BROKEN
-                self._tell(trip, codes.UNKNOWN, began, code, repr(error))
+                self._record_answer(
+                    dispatch, codes.UNKNOWN, started_at, code, repr(error)
+                )
             else:
-                self._tell_left(trip, request, began)
+                self._record_left(dispatch, request, started_at)
             raise
         finally:
             self.tasks.discard(task)
@@ -198,20 +210,20 @@
     def _configured(self) -> bool:
         return self.routing().version != rows.NONE
 
-    def give_up(self) -> None:
-        """Answer what is left: this node's time to stop is over.
+    def cancel_remaining(self) -> None:
+        """Answer remaining callers when the drain time is over.
 
-        A connection that is closed without a word tells a caller nothing; an
-        answer tells it that the request may have run.
+        A closed connection tells a caller nothing; an answer tells it that
+        the request may have run.
         """
         for task in list(self.tasks):
             task.cancel()
 
     def _check_serving(self, routing: routings.Routing, now: float) -> None:
-        """Refuse all while there is no configuration, and after a stop."""
+        """Refuse requests without a configuration and after a stop."""
         if routing.version == rows.NONE:
             raise caller.Refused(codes.NOT_READY)
-        if self.last_new is not None and now > self.last_new:
+        if self.accept_until is not None and now > self.accept_until:
             raise caller.Refused(codes.LEAVING)
 
     # Reading
@@ -223,13 +235,16 @@
         routing: routings.Routing,
         now: float,
     ) -> dispatches.Dispatch:
-        """Read a request; raises :class:`caller.Refused`."""
+        """Read a request.
+
+        :raises caller.Refused: when it is invalid or has no route.
+        """
         place = caller.target(request)
         match = routing.match(place.host, place.path.partition('?')[0])
         if match is None:
             raise self._no_route()
         route = match.route
-        name = self.splits.service(match.key, route)
+        name = self.splitter.service(match.key, route)
         service = routing.service(name)
         if service is None:
             raise self._no_route()
@@ -243,19 +258,19 @@
         credentials = request.headers.get('Authorization', '')
         call = digests.named(call, place.host, credentials)
         goal_s = route.goal_ms / MS if route.goal_ms else call.deadline - now
-        parent = self.nested_calls.parent(call.id)
-        need = dispatches.Params(
+        parent = self.nested_calls.running_parent(call.id)
+        params = dispatches.Params(
             name,
             now + goal_s,
             self.nested_calls.rank(call.id, route.priority),
             bool(parent),
             parent in self.nested_calls.repeated,
-            bool(parent) and self.nested_calls.called(parent, name),
+            bool(parent) and self.nested_calls.count_call(parent, name),
             self.service,
-            route.max_attempts or relays.DEFAULT_MAX_RUNS,
+            route.max_attempts or dispatchers.DEFAULT_MAX_RUNS,
             str(routing.version),
         )
-        return dispatches.Dispatch(call, need)
+        return dispatches.Dispatch(call, params)
 
     def _call(
         self,
@@ -269,7 +284,7 @@
         idempotent = self._idempotent(route, request)
         most_ms = route.timeout_ms or match.service.timeout_ms
         left_ms = caller.budget_ms(
-            request.headers, match.service, self.names.deadline_ms
+            request.headers, match.service, self.header_names.deadline_ms
         )
         return calls.Call(
             exchange.id,
@@ -285,11 +300,11 @@
         )
 
     def _head(self, request: incoming.Request, place: caller.Target) -> bytes:
-        """Return the request line and the headers that go on."""
+        """Return the request line and headers for the upstream."""
         raw = [
             pair
             for pair in request.raw_headers
-            if pair[0].lower() not in self.ours
+            if pair[0].lower() not in self.own_headers
         ]
         if place.authority:
             raw = [pair for pair in raw if pair[0].lower() != b'host']
@@ -298,92 +313,100 @@
 
     # Answering
 
-    async def _pass_on(
+    async def _forward(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         exchange: exchanges.Exchange,
-        began: float,
+        started_at: float,
     ) -> None:
-        answer = await self.relay.send(trip)
+        answer = await self.dispatcher.send(dispatch)
         why = ''
         if answer.rest is None:
             exchange.whole(answer, codes.OK)
             await exchange.drained()
         else:
-            why = await streaming.pass_on(answer.rest, answer, exchange)
+            why = await streaming.stream(answer.rest, answer, exchange)
         if why:
             exchange.keep_alive = False
-            self.meters.cut(trip.call.id, why)
+            self.meters.cut(dispatch.call.id, why)
         else:
-            self.meters.complete(clock.now() - began)
-        if trip.need.inner and answer.status >= 500:
-            self.nested_calls.failed(trip.call.id)
+            self.meters.complete(clock.now() - started_at)
+        if dispatch.params.nested and answer.status >= 500:
+            self.nested_calls.call_failed(dispatch.call.id)
         code = codes.ANSWER_LOST if why else codes.OK
-        self._tell(trip, codes.COMPLETE, began, code, why, answer.status)
+        self._record_answer(
+            dispatch, codes.COMPLETE, started_at, code, why, answer.status
+        )
 
-    def _tell(
+    def _record_answer(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         outcome: str,
-        began: float,
+        started_at: float,
         code: codes.Code,
         detail: str,
         status: int = 0,
     ) -> None:
-        """Take note of what a caller was told."""
-        total_s = clock.now() - began
-        key, service = trip.call.match.key, trip.need.service
-        self.figures.answered(key, service, outcome, code.label, total_s)
+        """Record the outcome that a caller was given."""
+        total_s = clock.now() - started_at
+        key, service = dispatch.call.match.key, dispatch.params.service
+        self.metrics.record_answer(key, service, outcome, code.label, total_s)
         good = code is codes.OK and status < 500
-        if not status and trip.need.inner:
-            self.nested_calls.failed(trip.call.id)
-        if not status and trip.need.echo and trip.one_too_many:
+        if not status and dispatch.params.nested:
+            self.nested_calls.call_failed(dispatch.call.id)
+        if (
+            not status
+            and dispatch.params.caller_repeated
+            and dispatch.over_budget
+        ):
             self.nested_calls.payer.refused(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
-                trip.call.id,
+                dispatch.call.id,
                 key,
                 service,
                 status or _status(code, outcome),
                 outcome,
                 code.label,
-                trip.offers,
+                dispatch.offers,
                 int(total_s * MS),
-                trip.call.digest,
+                dispatch.call.digest,
                 detail,
             ),
             decisions.ROUTINE if good else decisions.TROUBLE,
         )
 
-    def _tell_rejected(
+    def _record_rejected(
         self, request: incoming.Request, name: str, refused: caller.Refused
     ) -> None:
         self.recorder.tell(
             decisions.Rejected(
                 name,
                 request.method,
-                request.headers.get('Host', '')[:MOST_SHOWN],
-                request.raw_path[:MOST_SHOWN],
+                request.headers.get('Host', '')[:MAX_LOGGED_CHARS],
+                request.raw_path[:MAX_LOGGED_CHARS],
                 _status(refused.code, codes.NOT_RUN),
                 refused.code.label,
                 str(self.version),
-                int((clock.now() - self.version_at) * MS),
+                int((clock.now() - self.version_since) * MS),
                 int(self.behind_s() * MS),
-                refused.detail[:MOST_SHOWN],
+                refused.detail[:MAX_LOGGED_CHARS],
             ),
             decisions.TROUBLE,
         )
 
-    def _tell_left(
+    def _record_left(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         request: incoming.Request,
-        began: float,
+        started_at: float,
     ) -> None:
-        total_ms = int((clock.now() - began) * MS)
+        total_ms = int((clock.now() - started_at) * MS)
         closed_by = 'caller' if request.connection.left else 'node'
         self.recorder.tell(
-            decisions.Left(trip.call.id, trip.offers, total_ms, closed_by),
+            decisions.Left(
+                dispatch.call.id, dispatch.offers, total_ms, closed_by
+            ),
             decisions.TROUBLE,
         )
 
@@ -395,19 +418,19 @@
         detail: str,
         retry_after_s: float,
     ) -> None:
-        """Answer with a status that promises what is true, and no more.
+        """Answer with a status that does not contradict the outcome.
 
-        A caller repeats a request after 503, whatever else the answer says,
-        and takes a 502 or 504 of one that was not run for a run.
+        Callers retry after 503, whatever else the answer says, and assume
+        after 502 or 504 that the request may have run.
         """
         status = _status(code, outcome)
         exchange.refuse(code, outcome, detail, retry_after_s, status)
 
 
 def _status(code: codes.Code, outcome: str) -> int:
-    """Return the status that tells callers of an outcome."""
+    """Return the status that expresses an outcome."""
     if outcome == codes.NOT_RUN and code.status >= 500:
         return NOT_RUN_STATUS
-    if outcome != codes.NOT_RUN and code.status in PROMISES:
+    if outcome != codes.NOT_RUN and code.status in NOT_RUN_STATUSES:
         return UNKNOWN_STATUS
     return code.status
--- a/carawaystair/gateway/detours.py
+++ b/carawaystair/gateway/detours.py
@@ -1,4 +1,4 @@
-"""Passes a request on to the gateway that another node can't reach."""
+"""Forwards requests to gateways that their senders can't reach directly."""
 
 from carawaystair import clock
 from carawaystair import codes
@@ -17,35 +17,35 @@
 from carawaystair.request import target as targets
 
 MS = 1000
-# Bodies of detours are held whole; longer ones are not sent this way.
-MOST_BODY = bodies.HOLD_BYTES
-# What a node says that knows nothing of an upstream.
-NOTHING = placing.Report('', False, 0, 0, 0, 0, 0, 0)
+# Bodies on detours are buffered whole; longer ones are not sent this way.
+MAX_BODY_BYTES = bodies.HOLD_BYTES
+# Report of a node that knows nothing of the upstream.
+NO_REPORT = placing.Report('', False, 0, 0, 0, 0, 0, 0)
 
 LOG = logs.get('gateway')
 
 
-async def pass_on(
+async def forward(
     hop: hops.Hop, request: incoming.Request, pacer: pacers.Pacer
 ) -> bool:
-    """Hand a request to its gateway and its answer back.
+    """Forward a request to its gateway and the answer to its sender.
 
-    Signs of life are passed on and none are made here: the sender wants to
-    know of that gateway, not of this node.
+    Interim answers are only forwarded, never generated here: they must show
+    that the gateway is alive, not that this node is.
 
-    :param pacer: shares the link of this host.
-    :return: whether another request may follow on the connection.
+    :param pacer: paces sending over the link of this host.
+    :return: whether the connection can carry another request.
     """
     now = clock.now()
-    deadline = now + hop.left_ms / MS
+    deadline = now + hop.remaining_ms / MS
     try:
         body = await bodies.read(
-            request.content, MOST_BODY, MOST_BODY, deadline
+            request.content, MAX_BODY_BYTES, MAX_BODY_BYTES, deadline
         )
     except caller.Refused:
         return False
     onward = hop._replace(detour='')
-    call = hops.call(hop, request, body.data, deadline)
+    call = hops.to_call(hop, request, body.data, deadline)
     upstream = interfaces.Upstream(
         hop.upstream, hop.service, hop.detour, '', '', 0
     )
@@ -54,65 +54,71 @@
     try:
         await attempt.connect()
         attempt.send()
-        while not await attempt.sign(deadline):
+        while not await attempt.wait_sign(deadline):
             hops.write(request, hops.INTERIM)
         answer = await attempt.answer(deadline)
-    except (answers.Failed, TimeoutError, *send_attempts.BROKEN) as error:
-        attempt.take_back()
-        hops.write(request, _no_answer(attempt, error))
+    except (
+        answers.Failed,
+        TimeoutError,
+        *send_attempts.CONNECTION_ERRORS,
+    ) as error:
+        attempt.reset()
+        hops.write(request, _failure(attempt, error))
         return request.keep_alive
     except BaseException:
-        _let_go(attempt, request)
+        _end_attempt(attempt, request)
         raise
-    way = pacer.way(hop.host)
+    throttle = pacer.throttle(hop.host)
     try:
-        return await _answer(hop, request, attempt, answer, way)
+        return await _forward_answer(hop, request, attempt, answer, throttle)
     finally:
-        way.end()
+        throttle.close()
 
 
-def _let_go(
+def _end_attempt(
     attempt: send_attempts.GatewayAttempt, request: incoming.Request
 ) -> None:
-    """End the way on as the way here has ended.
+    """End the onward connection in the way in which the inbound one ended.
 
-    A closed connection tells the gateway that nobody waits any more.  Closed
-    although the one here broke, it would cancel a run that the sender asks
-    for again, and a caller would be told that its outcome is unknown.
+    A gateway takes an orderly close for a caller that has left, and cancels
+    the run.  If the inbound connection broke, the sender asks for that run
+    again, and would have to report an unknown outcome if it was cancelled.
     """
     if request.connection.broken:
-        attempt.take_back()
+        attempt.reset()
     else:
-        attempt.leave()
+        attempt.abandon()
 
 
-def _no_answer(
-    attempt: send_attempts.GatewayAttempt, error: Exception
-) -> bytes:
+def _failure(attempt: send_attempts.GatewayAttempt, error: Exception) -> bytes:
     if attempt.sent:
-        return hops.failure(codes.ANSWER_LOST.label, repr(error), NOTHING)
-    return hops.refusal(hops.UNREACHABLE, repr(error), NOTHING)
+        return hops.failure(codes.ANSWER_LOST.label, repr(error), NO_REPORT)
+    return hops.refusal(hops.UNREACHABLE, repr(error), NO_REPORT)
 
 
-async def _answer(
+async def _forward_answer(
     hop: hops.Hop,
     request: incoming.Request,
     attempt: send_attempts.GatewayAttempt,
     answer: answers.Answer,
-    way: pacers.Throttle,
+    throttle: pacers.Throttle,
 ) -> bool:
-    told = hops.says(answer, hops.REFUSAL) or hops.says(answer, hops.FAILURE)
-    if told:
+    from_gateway = hops.header_value(
+        answer, hops.REFUSAL
+    ) or hops.header_value(answer, hops.FAILURE)
+    if from_gateway:
         attempt.drop()
-        hops.write(request, hops.passed_on(answer))
+        hops.write(request, hops.forwarded(answer))
         return request.keep_alive
     exchange = exchanges.Exchange(request, hop.id)
-    extra = hops.lines(answer.headers)
+    extra_headers = hops.node_header_lines(answer.headers)
     if answer.rest is None:
         attempt.drop()
-        await streaming.whole(answer, exchange, extra, way)
+        await streaming.write_whole(answer, exchange, extra_headers, throttle)
         return exchange.keep_alive
-    why = await streaming.pass_on(attempt, answer, exchange, extra, way)
+    why = await streaming.stream(
+        attempt, answer, exchange, extra_headers, throttle
+    )
     if why:
-        LOG.warning('An answer broke off on a detour.', id=hop.id, why=why)
+        LOG.warning('Answer interrupted on a detour.', id=hop.id, why=why)
     return exchange.keep_alive and not why
--- a/carawaystair/gateway/dispatcher.py
+++ b/carawaystair/gateway/dispatcher.py
@@ -1,10 +1,11 @@
-"""Sends a caller's request to a gateway, and to another one where it may.
+"""Dispatches callers' requests to gateways, with retries and hedging.
 
 A gateway that has no free slot, or knows of failures, refuses at once, and the
-next one is asked: that costs a round trip, a hundredth of what the work takes,
-and it decides by what is true at that moment.  When none is left that promises
-more than those that refused, the request waits where it is worth most; when
-that would take too long, the caller is told at once and when to come back.
+next one is asked.  That costs a round trip, a hundredth of the service time,
+and the decision rests on the current state.  When no gateway is left that
+promises more than those that refused, the request waits where it is worth
+most.  If that would take too long, the caller is refused at once and told when
+to retry.
 """
 
 import asyncio
@@ -15,11 +16,11 @@
 from carawaystair import codes
 from carawaystair import decisions
 from carawaystair.gateway import dispatches
-from carawaystair.gateway import gateway_client as handovers
+from carawaystair.gateway import gateway_client
 from carawaystair.gateway import hedging
 from carawaystair.gateway import hops
-from carawaystair.gateway import startup as settlings
-from carawaystair.gateway import upstream_pool as knowns
+from carawaystair.gateway import startup
+from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
 from carawaystair.load import gate
 from carawaystair.load import placing
@@ -31,208 +32,218 @@
 from carawaystair.request import caller
 from carawaystair.request import target as targets
 
-# Gateways that are asked before a request stays at one of them.
+# Gateways that are asked before a request waits at one of them.
 MAX_GATEWAYS_ASKED = 6
-# And those beside them that can't serve it at all, such as those that leave.
+# The same including gateways that can't serve it at all, such as those that
+# are leaving.
 MAX_OFFERS = 12
-# Gateways at which a request may be left to wait, one after the other.
+# Gateways at which a request may wait, one after the other.
 MAX_WAITS = 3
-# Sends that may reach an upstream, whether it runs them or sheds them.  When
-# a service sheds half of its work, each further send of one request takes the
-# place of the second of another one.
+# Upstreams that a request may reach, whether they run or shed it.  When a
+# service sheds half of its load, each further send of one request takes the
+# place of the second send of another one.
 MAX_UPSTREAMS_REACHED = 3
-# Upstreams that may run a request whose route does not say.
+# Upstreams that may run a request if its route has no limit of its own.
 DEFAULT_MAX_RUNS = 2
-# A request that takes so many times as long as its route usually does, and
-# this time at least in seconds, is asked of another upstream as well; of so
-# many at most, until one has room.
+# A request is hedged after this multiple of its route's typical service time,
+# but not before MIN_HEDGE_DELAY_S; at most MAX_HEDGE_OFFERS further gateways
+# are asked until one has room.
 HEDGE_DELAY_FACTOR = 2.0
 MIN_HEDGE_DELAY_S = 0.25
 MAX_HEDGE_OFFERS = 3
 MS = 1000
-# Refusals that another question may turn into a run.
-WAITABLE = frozenset((rejecting.BUSY, gate.RISKY))
+# Reasons for a refusal that may not hold any more when the gateway is asked
+# again.
+REASONS_TO_WAIT = frozenset((rejecting.BUSY, gate.RISKY))
 
 
 class Dispatcher:
     """Sends requests to gateways; one for each node.
 
-    :param known: the upstreams.
-    :param handover: hands a request to one gateway.
-    :param settling: waits for upstreams right after the start.
-    :param budgets: the repeats that this node may send, by service.
-    :param quarantine: knows requests that crash upstreams.
+    :param pool: the upstreams.
+    :param client: sends a request to one gateway.
+    :param startup_wait: waits for upstreams right after the start.
+    :param retry_budgets: this node's retry budgets, by service.
+    :param quarantine: tracks requests that crash upstreams.
     :param rng: the source of randomness.
-    :param recorder: takes note of decisions.
+    :param recorder: records events.
     """
 
     def __init__(
         self,
-        pool: knowns.UpstreamPool,
-        client: handovers.GatewayClient,
-        settling: settlings.StartupWait,
-        budgets: retrying.Budgets,
+        pool: upstream_pool.UpstreamPool,
+        client: gateway_client.GatewayClient,
+        startup_wait: startup.StartupWait,
+        retry_budgets: retrying.Budgets,
         quarantine: interfaces.Quarantine,
         rng: random.Random,
         recorder: decisions.Recorder,
     ) -> None:
-        self.budgets = budgets
+        self.retry_budgets = retry_budgets
         self.quarantine = quarantine
         self.pool = pool
         self.board = pool.board
         self.client = client
-        self.settling = settling
+        self.startup_wait = startup_wait
         self.rng = rng
         self.recorder = recorder
-        # Answers that a second run brought before the first one ended.
+        # Answers of hedges that came before those of the first runs.
         self.hedged = 0
 
     # A request
 
-    async def send(self, trip: dispatches.Dispatch) -> answers.Answer:
+    async def send(self, dispatch: dispatches.Dispatch) -> answers.Answer:
         """Return the answer to a request.
 
         :raises caller.Refused: when it was not run and will not be.
         :raises answers.Failed: when it may have run.
         """
-        if not self.quarantine.may_begin(trip.call.digest):
-            raise self._crashing(trip)
-        if not trip.need.echo:
-            self.budgets.of(trip.need.service).first(clock.now())
-        while self._may_send(trip) and trip.offers < MAX_OFFERS:
-            choice = await self._next(trip)
+        if not self.quarantine.may_begin(dispatch.call.digest):
+            raise self._crash_refusal(dispatch)
+        if not dispatch.params.caller_repeated:
+            self.retry_budgets.of(dispatch.params.service).first(clock.now())
+        while self._may_send(dispatch) and dispatch.offers < MAX_OFFERS:
+            choice = await self._next_choice(dispatch)
             if choice is None:
                 break
-            answer = await self._try(trip, *choice)
+            answer = await self._offer_and_hedge(dispatch, *choice)
             if answer is not None:
                 return answer
-        return await self._end(trip)
+        return await self._finish(dispatch)
 
-    async def _next(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
-        """Return where a request goes next, None when there is nothing left.
+    async def _next_choice(
+        self, dispatch: dispatches.Dispatch
+    ) -> upstream_pool.Choice | None:
+        """Return the next upstream for a request; None if none is left.
 
-        That is an upstream that was not asked, or one that refused it and
-        where it is worth more to wait.
+        That is an upstream that was not asked yet, or the one at which it is
+        worth most to wait among those that refused it.
         """
         choice = None
-        if len(trip.declined) < MAX_GATEWAYS_ASKED:
-            choice = self._choose(trip)
-        if choice is None and not trip.offers:
-            await self.settling.wait(
-                lambda: self._choose(trip) is not None, trip.need.goal
+        if len(dispatch.refused_by) < MAX_GATEWAYS_ASKED:
+            choice = self._choose(dispatch)
+        if choice is None and not dispatch.offers:
+            await self.startup_wait.wait(
+                lambda: self._choose(dispatch) is not None,
+                dispatch.params.goal,
             )
-            choice = self._choose(trip)
+            choice = self._choose(dispatch)
         if choice is None:
-            return self._best(trip)
-        trip.tried.add(choice.target.upstream.id)
+            return self._best_declined(dispatch)
+        dispatch.tried.add(choice.target.upstream.id)
         return choice
 
-    def _choose(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
+    def _choose(
+        self, dispatch: dispatches.Dispatch
+    ) -> upstream_pool.Choice | None:
         now = clock.now()
         return self.pool.choose(
-            trip.need.service,
-            trip.tried,
-            trip.declined.keys() - trip.stayed,
+            dispatch.params.service,
+            dispatch.tried,
+            dispatch.refused_by.keys() - dispatch.waited_at,
             now,
-            trip.needs(now),
-            trip.call.match.key,
-            trip.size,
-            not trip.offers,
+            dispatch.needs(now),
+            dispatch.call.match.key,
+            dispatch.size,
+            not dispatch.offers,
         )
 
-    def _may_send(self, trip: dispatches.Dispatch) -> bool:
-        """Tell whether one more upstream may get a request."""
-        if trip.spent or clock.now() >= trip.call.deadline:
+    def _may_send(self, dispatch: dispatches.Dispatch) -> bool:
+        """Return whether a request may be sent to another upstream."""
+        if dispatch.body_consumed or clock.now() >= dispatch.call.deadline:
             return False
-        digest = trip.call.digest
-        if trip.crashing or self.quarantine.refuses(digest):
+        digest = dispatch.call.digest
+        if dispatch.crashing or self.quarantine.refuses(digest):
             return False
-        if trip.runs and not self.quarantine.may_repeat(digest):
+        if dispatch.runs and not self.quarantine.may_repeat(digest):
             return False
-        runs = trip.need.most_runs
-        return trip.runs < runs and trip.sent < max(
+        runs = dispatch.params.max_runs
+        return dispatch.runs < runs and dispatch.sent < max(
             MAX_UPSTREAMS_REACHED, runs
         )
 
-    async def _end(self, trip: dispatches.Dispatch) -> answers.Answer:
-        """Return what an earlier run came to; raises what it is if none."""
-        if trip.sent:
+    async def _finish(self, dispatch: dispatches.Dispatch) -> answers.Answer:
+        """Return the answer of an earlier run; raise the failure if none."""
+        if dispatch.sent:
             self.recorder.tell(
                 decisions.Spent(
-                    trip.call.id,
-                    self._may_send(trip),
-                    trip.runs,
-                    trip.need.most_runs,
-                    trip.sent,
-                    ' '.join(trip.refusals),
+                    dispatch.call.id,
+                    self._may_send(dispatch),
+                    dispatch.runs,
+                    dispatch.params.max_runs,
+                    dispatch.sent,
+                    ' '.join(dispatch.refusals),
                 ),
                 decisions.TROUBLE,
             )
-        if trip.fallback is not None:
-            return trip.fallback
-        answer = await self.client.find(trip)
+        if dispatch.fallback is not None:
+            return dispatch.fallback
+        answer = await self.client.recover(dispatch)
         if answer is not None:
             return answer
-        if trip.failed is not None:
-            raise trip.failed
-        if trip.crashing or self.quarantine.refuses(trip.call.digest):
-            raise self._crashing(trip)
-        raise self._rejection(trip)
-
-    def _best(self, trip: dispatches.Dispatch) -> knowns.Choice | None:
-        """Return where a request is worth most, of those that refused it.
-
-        Gateways that were not reached come last: they are asked through a
-        third node.
+        if dispatch.failure is not None:
+            raise dispatch.failure
+        if dispatch.crashing or self.quarantine.refuses(dispatch.call.digest):
+            raise self._crash_refusal(dispatch)
+        raise self._rejection(dispatch)
+
+    def _best_declined(
+        self, dispatch: dispatches.Dispatch
+    ) -> upstream_pool.Choice | None:
+        """Return where the request is worth most, of those that refused it.
+
+        Gateways that could not be reached come last; they are asked through
+        a third node.
         """
-        if len(trip.stayed) >= MAX_WAITS:
+        if len(dispatch.waited_at) >= MAX_WAITS:
             return None
-        need = trip.needs(clock.now())
+        need = dispatch.needs(clock.now())
         found = [
             (value_where_declined(declined.report, need), target)
-            for name, (target, declined) in trip.declined.items()
-            if name not in trip.stayed and not self._too_late(trip, declined)
+            for name, (target, declined) in dispatch.refused_by.items()
+            if name not in dispatch.waited_at
+            and not self._too_late(dispatch, declined)
         ]
         missed = [
             (0.0, target)
-            for target in trip.missed
-            if target.upstream.id not in trip.stayed
+            for target in dispatch.unreached
+            if target.upstream.id not in dispatch.waited_at
         ]
         if not found and not missed:
             return None
         target = max(found or missed, key=lambda pair: pair[0])[1]
-        trip.stayed.add(target.upstream.id)
-        return knowns.Choice(target, len(trip.declined), None)
+        dispatch.waited_at.add(target.upstream.id)
+        return upstream_pool.Choice(target, len(dispatch.refused_by), None)
 
     def _too_late(
-        self, trip: dispatches.Dispatch, declined: dispatches.Declined
+        self, dispatch: dispatches.Dispatch, declined: dispatches.Declined
     ) -> bool:
         report = declined.report
         if report is None:
-            return clock.now() >= trip.call.deadline
+            return clock.now() >= dispatch.call.deadline
         return rejecting.hopeless(
             clock.now(),
             report.wait_ms / MS,
             (report.route_ms or report.service_ms) / MS,
-            trip.call.deadline,
+            dispatch.call.deadline,
         )
 
-    def _crashing(self, trip: dispatches.Dispatch) -> caller.Refused:
+    def _crash_refusal(self, dispatch: dispatches.Dispatch) -> caller.Refused:
         """Return the refusal of a request that crashes upstreams."""
-        return caller.crashes(self.quarantine.standing(trip.call.digest))
+        return caller.crashes(self.quarantine.standing(dispatch.call.digest))
 
-    def _rejection(self, trip: dispatches.Dispatch) -> caller.Refused:
-        """Return what the caller of a request that was not run is told."""
+    def _rejection(self, dispatch: dispatches.Dispatch) -> caller.Refused:
+        """Return the refusal for a request that was not run."""
         reports = [
             declined.report
-            for _target, declined in trip.declined.values()
+            for _target, declined in dispatch.refused_by.values()
             if declined.report is not None
         ]
         backlog_s = min((r.wait_ms / MS for r in reports), default=0.0)
         after_s = returning.retry_after_s(backlog_s, self.rng)
-        if not trip.declined:
+        if not dispatch.refused_by:
             return caller.Refused(codes.NO_UPSTREAM, '', after_s)
-        reasons = sorted({d.reason for _t, d in trip.declined.values()})
+        reasons = sorted({d.reason for _t, d in dispatch.refused_by.values()})
         full = rejecting.FULL in reasons
         code = codes.QUEUE_FULL if full else codes.DEADLINE_SHORT
         detail = 'least wait %.2f s, %s' % (backlog_s, ', '.join(reasons))
@@ -240,145 +251,151 @@
 
     # One gateway
 
-    async def _try(
+    async def _offer_and_hedge(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
-        count: int,
-        least: float | None,
-        again: float,
+        usable_count: int,
+        min_value: float | None,
+        retry_value: float,
     ) -> answers.Answer | None:
-        """Offer a request to one gateway, and to another when that is late.
+        """Offer a request to one gateway; hedge if the answer is late.
 
-        :param count: upstreams that take work, for the log.
-        :param least: what it must be worth there; None when it may wait
-            there whatever that is.
-        :param again: what it is worth if it fails there.
-        :return: None when another one may be asked.
+        :param usable_count: upstreams that take work, for the log.
+        :param min_value: value that it must have there to be accepted; None
+            when it may wait there whatever its value.
+        :param retry_value: value that is left if it fails there, 0 to 1.
+        :return: None when another gateway may be asked.
         """
-        first = self._send(trip, target, count, least, again)
-        durations, key = self.board.durations, trip.call.match.key
-        if trip.final_attempt or trip.call.body is None:
+        first = self._offer_to(
+            dispatch, target, usable_count, min_value, retry_value
+        )
+        durations, key = self.board.durations, dispatch.call.match.key
+        if dispatch.final_attempt or dispatch.call.body is None:
             return await first
         after_s = math.inf
         if durations.knows(key):
             after_s = max(
                 HEDGE_DELAY_FACTOR * durations.of(key), MIN_HEDGE_DELAY_S
             )
-        trip.hurry = asyncio.get_running_loop().create_future()
+        dispatch.hedge_early = asyncio.get_running_loop().create_future()
         return await hedging.hedged(
             first,
             after_s,
-            trip.hurry,
-            lambda: self._hedge(trip, target.upstream.id),
+            dispatch.hedge_early,
+            lambda: self._hedge(dispatch, target.upstream.id),
         )
 
     async def _hedge(
-        self, trip: dispatches.Dispatch, first: str
+        self, dispatch: dispatches.Dispatch, first: str
     ) -> answers.Answer | None:
-        """Let another upstream run a request as well, if one has room.
+        """Send a request to another upstream as well, if one has room.
 
-        :param first: the upstream that has it.
+        :param first: id of the upstream that already has it.
         """
-        trip.ran(first)
+        dispatch.mark_run(first)
         for _asked in range(MAX_HEDGE_OFFERS):
-            choice = self._choose(trip) if self._may_send(trip) else None
+            choice = (
+                self._choose(dispatch) if self._may_send(dispatch) else None
+            )
             if choice is None:
                 return None
-            trip.tried.add(choice.target.upstream.id)
-            answer = await self._send(trip, *choice)
+            dispatch.tried.add(choice.target.upstream.id)
+            answer = await self._offer_to(dispatch, *choice)
             if answer is not None:
                 self.hedged += 1
                 return answer
         return None
 
-    async def _send(
+    async def _offer_to(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
-        count: int,
-        least: float | None,
-        again: float,
+        usable_count: int,
+        min_value: float | None,
+        retry_value: float,
     ) -> answers.Answer | None:
-        """Offer a request to one gateway, see :meth:`_try`."""
+        """Offer a request to one gateway, see :meth:`_offer_and_hedge`."""
         upstream = target.upstream
         name = upstream.id
-        trip.offers += 1
-        offer = self._offer(trip, upstream, count, least)
+        dispatch.offers += 1
+        offer = self._offer_event(dispatch, upstream, usable_count, min_value)
         view = self.board.view(name)
         view.mine += 1
         began = clock.now()
-        budget = self.budgets.of(trip.need.service)
-        # The first send of a call counts as well where its caller's run is a
-        # repeat, unless that was paid for before the run began.
-        counts = trip.sent > 0 or (trip.need.echo and not trip.need.paid)
-        paid = counts and budget.repeat(began, 1)
-        counted = paid or (trip.need.paid and trip.sent == 0)
+        budget = self.retry_budgets.of(dispatch.params.service)
+        # A nested call of a repeat is itself a repeat, unless it was charged
+        # to the budget before that run began.
+        needs_budget = dispatch.sent > 0 or (
+            dispatch.params.caller_repeated and not dispatch.params.budgeted
+        )
+        charged = needs_budget and budget.repeat(began, 1)
+        budgeted = charged or (dispatch.params.budgeted and dispatch.sent == 0)
         try:
-            answer = await self.client.exchange(
-                trip, target, least, again, counted
+            answer = await self.client.send(
+                dispatch, target, min_value, retry_value, budgeted
             )
         except dispatches.Declined as declined:
-            reached = declined.reason in hops.ARRIVED
-            if paid and not reached:
+            reached = declined.reason in hops.SENT_TO_UPSTREAM
+            if charged and not reached:
                 budget.give_back(began)
-            trip.not_run(name, reached)
-            self._declined(trip, target, declined)
+            dispatch.mark_not_run(name, reached)
+            self._record_declined(dispatch, target, declined)
             return None
         except answers.Failed as failed:
             self.recorder.tell(offer, decisions.TROUBLE)
-            self._tell_broken(trip, name, failed, began)
+            self._record_broken(dispatch, name, failed, began)
             if not failed.sent:
-                if paid:
+                if charged:
                     budget.give_back(began)
-                trip.not_run(name, False)
-                trip.missed.append(target)
+                dispatch.mark_not_run(name, False)
+                dispatch.unreached.append(target)
                 return None
-            self.pool.learn(trip.need.service, False)
-            trip.ran(name)
-            trip.failed = failed
-            if not trip.call.idempotent or trip.call.body is None:
+            self.pool.record_outcome(dispatch.params.service, False)
+            dispatch.mark_run(name)
+            dispatch.failure = failed
+            if not dispatch.call.idempotent or dispatch.call.body is None:
                 raise
             return None
         finally:
             view.mine -= 1
         bad = answer.status >= 500
-        self.board.sizes.add(trip.call.match.key, answers.size(answer))
-        self.pool.learn(trip.need.service, not bad)
+        self.board.sizes.add(dispatch.call.match.key, answers.size(answer))
+        self.pool.record_outcome(dispatch.params.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
         )
-        if not bad or not trip.call.idempotent or answer.rest is not None:
+        if not bad or not dispatch.call.idempotent or answer.rest is not None:
             return answer
-        trip.ran(name)
-        trip.fallback = answer
+        dispatch.mark_run(name)
+        dispatch.fallback = answer
         return None
 
-    def _declined(
+    def _record_declined(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
         declined: dispatches.Declined,
     ) -> None:
         name = target.upstream.id
-        trip.refusals.append('%s:%s' % (name, declined.reason))
+        dispatch.refusals.append('%s:%s' % (name, declined.reason))
         if declined.reason == hops.CRASHING:
-            trip.crashing = True
-        if declined.reason in WAITABLE:
-            trip.declined[name] = (target, declined)
+            dispatch.crashing = True
+        if declined.reason in REASONS_TO_WAIT:
+            dispatch.refused_by[name] = (target, declined)
 
-    # What is told
+    # Events
 
-    def _tell_broken(
+    def _record_broken(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         name: str,
         failed: answers.Failed,
         began: float,
     ) -> None:
         self.recorder.tell(
             decisions.Broke(
-                trip.call.id,
+                dispatch.call.id,
                 name,
                 failed.code.label,
                 failed.sent,
@@ -388,43 +405,43 @@
             decisions.TROUBLE,
         )
 
-    def _offer(
+    def _offer_event(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         upstream: interfaces.Upstream,
-        count: int,
-        least: float | None,
+        usable_count: int,
+        min_value: float | None,
     ) -> decisions.Offered:
-        """Return what is told of an offer, by what is known before it."""
+        """Return the event of an offer, with what is known before it."""
         now = clock.now()
         view = self.board.view(upstream.id)
         known = view.report is not None
         candidate = placing.Candidate(upstream.id, False, upstream.slots)
-        need = trip.need
+        params = dispatch.params
         return decisions.Offered(
-            trip.call.id,
-            need.service,
+            dispatch.call.id,
+            params.service,
             upstream.id,
             upstream.host,
-            need.version,
-            trip.offers,
-            int((trip.call.deadline - now) * MS),
-            trip.call.idempotent,
-            need.inner,
-            least is None,
+            params.config_version,
+            dispatch.offers,
+            int((dispatch.call.deadline - now) * MS),
+            dispatch.call.idempotent,
+            params.nested,
+            min_value is None,
             int((now - view.at) * MS) if known else -1,
             self.board.load(candidate, now),
-            count,
-            ' '.join(trip.refusals),
+            usable_count,
+            ' '.join(dispatch.refusals),
         )
 
 
 def value_where_declined(
     report: placing.Report | None, need: valuing.Need
 ) -> float:
-    """Return what a request is worth where it was refused just now, 0 to 1.
+    """Return the value of a request where it was just refused, 0 to 1.
 
-    :param report: what the gateway said of its upstream.
+    :param report: the gateway's report with the refusal.
     """
     if report is None:
         return 0.0
--- a/carawaystair/gateway/dispatches.py
+++ b/carawaystair/gateway/dispatches.py
@@ -1,4 +1,4 @@
-"""One request on its way from a caller's node to an upstream."""
+"""State of one request while the caller's node dispatches it."""
 
 import asyncio
 import math
@@ -15,15 +15,15 @@
 
 MS = 1000
 THOUSAND = 1000
-# Two requests with one id get the same token once in 2**48 cases.
+# Two requests with the same id get the same token with probability 2**-48.
 TOKEN_BYTES = 6
 
 
 class Declined(Exception):
-    """A gateway refused a request; it was not run there.
+    """A gateway declined a request; it was not run there.
 
-    :param reason: why, see ``hops``.
-    :param report: what the gateway says of its upstream.
+    :param reason: the reason, see ``hops``.
+    :param report: the gateway's report on its upstream.
     """
 
     def __init__(self, reason: str, report: placing.Report | None) -> None:
@@ -33,102 +33,101 @@
 
 
 class Params(typing.NamedTuple):
-    """What a request needs, beside what its call says.
-
-    :param service: the service that is to run it.
-    :param goal: monotonic time until which its answer is worth most.
-    :param priority: rank of its kind, 0 first.
-    :param inner: whether another running request waits for it.
-    :param echo: whether that one was sent to an upstream before.
-    :param paid: whether its arrival was counted among the repeats already.
+    """Parameters of a dispatch beside those of the call.
+
+    :param service: the service that is to run the request.
+    :param goal: monotonic time of its latency goal.
+    :param priority: its priority, 0 first.
+    :param nested: whether another running request waits for it.
+    :param caller_repeated: whether that one was sent to an upstream before.
+    :param budgeted: whether it was charged to the retry budget already.
     :param caller_service: the service on this host.
-    :param most_runs: upstreams that may run it.
-    :param version: configuration that it was read with.
+    :param max_runs: number of upstreams that may run it.
+    :param config_version: version of the configuration in use.
     """
 
     service: str
     goal: float
     priority: int
-    inner: bool
-    echo: bool
-    paid: bool
+    nested: bool
+    caller_repeated: bool
+    budgeted: bool
     caller_service: str
-    most_runs: int
-    version: str
+    max_runs: int
+    config_version: str
 
 
 class LostConnection(typing.NamedTuple):
-    """Where a request is whose connection was lost.
+    """The upstream and process at which a request's connection was lost.
 
-    :param target: the upstream that may run it.
+    :param target: the upstream, which may run the request.
     :param process: the process of its gateway.
-    :param paid: whether this node counted it among its repeats.
+    :param budgeted: whether the send was charged to the retry budget.
     """
 
     target: targets.Target
     process: str
-    paid: bool
+    budgeted: bool
 
 
 class Dispatch:
-    """One request on its way.
+    """One request on its way to an upstream.
 
     :param call: the request.
-    :param need: what it needs.
+    :param params: its parameters.
     """
 
     __slots__ = (
-        'begun',
+        'body_started',
         'call',
         'crashing',
-        'declined',
+        'refused_by',
         'fallback',
-        'failed',
-        'hurry',
-        'lost',
-        'missed',
-        'need',
+        'failure',
+        'hedge_early',
+        'lost_connection',
+        'unreached',
+        'params',
         'offers',
         'ran_at',
         'reached',
         'refusals',
         'sends',
-        'stayed',
+        'waited_at',
         'token',
         'tried',
     )
 
-    def __init__(self, call: calls.Call, need: Params) -> None:
+    def __init__(self, call: calls.Call, params: Params) -> None:
         self.call = call
-        self.need = need
-        # Callers choose the ids of requests, and may use one twice.
+        self.params = params
+        # Callers choose the ids of requests and may use one twice.
         self.token = secrets.token_hex(TOKEN_BYTES)
         self.tried: set[str] = set()
-        # Upstreams at which it was left to wait.
-        self.stayed: set[str] = set()
-        # Refusals that waiting may turn, by upstream.
-        self.declined: dict[str, tuple[targets.Target, Declined]] = {}
-        # All refusals, as the log tells them.
+        # Upstreams at which it was offered to wait.
+        self.waited_at: set[str] = set()
+        # Refusals that may not hold any more later, by upstream.
+        self.refused_by: dict[str, tuple[targets.Target, Declined]] = {}
+        # All refusals, in the form in which they are logged.
         self.refusals: list[str] = []
-        # Those whose gateways could not be reached directly.
-        self.missed: list[targets.Target] = []
-        # Gateways that were asked, and all sends to them.
+        # Upstreams whose gateways could not be reached directly.
+        self.unreached: list[targets.Target] = []
+        # Number of gateways that were asked, and of all sends to them.
         self.offers = 0
         self.sends = 0
-        # Whether a part of its body went out.
-        self.begun = False
-        # Upstreams that may have run it, and those that got it, whether they
-        # ran it or not.
+        # Whether a part of its body was sent.
+        self.body_started = False
+        # Upstreams that may have run it, and upstreams that received it.
         self.ran_at: set[str] = set()
         self.reached: set[str] = set()
-        self.failed: answers.Failed | None = None
-        # Where it may still run, if its connection was lost there.
-        self.lost: LostConnection | None = None
-        # Done once its gateway has shown no sign of life for long; None
-        # where no other upstream may have it.
-        self.hurry: asyncio.Future | None = None
+        self.failure: answers.Failed | None = None
+        # Where it may still run after its connection was lost.
+        self.lost_connection: LostConnection | None = None
+        # Done once the gateway has shown no sign of life for too long; None
+        # if the request can't be hedged.
+        self.hedge_early: asyncio.Future | None = None
         self.fallback: answers.Answer | None = None
-        # Whether a gateway refused it because upstreams crashed under it.
+        # Whether a gateway refused it because it crashes upstreams.
         self.crashing = False
 
     @property
@@ -138,18 +137,18 @@
 
     @property
     def sent(self) -> int:
-        """Return how many upstreams got it."""
+        """Return how many upstreams received it."""
         return len(self.reached)
 
-    def ran(self, upstream: str) -> None:
-        """Take note that an upstream may have run it."""
+    def mark_run(self, upstream: str) -> None:
+        """Record that an upstream may have run it."""
         self.ran_at.add(upstream)
         self.reached.add(upstream)
 
-    def not_run(self, upstream: str, reached: bool) -> None:
-        """Take note that an upstream has not run it after all.
+    def mark_not_run(self, upstream: str, reached: bool) -> None:
+        """Record that an upstream has not run it.
 
-        :param reached: whether it got it.
+        :param reached: whether the upstream received it.
         """
         self.ran_at.discard(upstream)
         if reached:
@@ -159,83 +158,86 @@
 
     @property
     def size(self) -> float:
-        """Return the bytes of its body; infinite when it comes in chunks."""
+        """Return the size of its body, bytes; infinite if unknown."""
         call = self.call
         if call.body is not None:
             return len(call.body)
         return math.inf if call.length is None else call.length
 
     @property
-    def one_too_many(self) -> bool:
-        """Tell whether it was a repeat that its service may not get."""
+    def over_budget(self) -> bool:
+        """Return whether a gateway refused it for lack of retry budget."""
         spent = ':' + hops.SPENT
         return any(refusal.endswith(spent) for refusal in self.refusals)
 
     @property
-    def spent(self) -> bool:
-        """Tell whether its body is gone: it can't be sent once more."""
-        return self.begun and self.call.body is None
+    def body_consumed(self) -> bool:
+        """Return whether it can't be resent because its body is consumed."""
+        return self.body_started and self.call.body is None
 
     @property
     def final_attempt(self) -> bool:
-        """Tell whether it can't be sent once more if it fails."""
-        runs_out = self.runs + 1 >= self.need.most_runs
+        """Return whether it can't be retried if the next attempt fails."""
+        runs_out = self.runs + 1 >= self.params.max_runs
         return runs_out or not self.call.idempotent or self.sent > 0
 
     def needs(self, now: float) -> valuing.Need:
-        """Return what it needs now."""
+        """Return its goal and deadline relative to a time."""
         return valuing.Need(
-            self.need.goal - now, self.call.deadline - now, self.final_attempt
+            self.params.goal - now,
+            self.call.deadline - now,
+            self.final_attempt,
         )
 
     def hop(
         self,
         host: str,
         target: targets.Target,
-        least: float | None,
-        again: float,
-        paid: bool,
-        calm: bool,
-        usual_s: float,
+        min_value: float | None,
+        retry_value: float,
+        budgeted: bool,
+        service_healthy: bool,
+        typical_s: float,
         process: str,
     ) -> hops.Hop:
-        """Return what the next send of this request tells a gateway.
+        """Return the hop header for the next send.
 
         :param host: the host of this node.
-        :param least: what it must be worth there; None when it stays there
-            whatever that is.
-        :param again: what it is worth if it fails there.
-        :param paid: whether this node counted it among its repeats.
-        :param calm: whether this node sees the service served well.
-        :param usual_s: service time of its route, seconds.
-        :param process: the process of the gateway, as far as is known.
+        :param min_value: value that it must have there to be accepted; None
+            when it may wait there whatever its value.
+        :param retry_value: value that is left if it fails there, 0 to 1.
+        :param budgeted: whether it was charged to this node's retry budget.
+        :param service_healthy: whether the service serves this node's
+            requests well.
+        :param typical_s: service time of its route, seconds.
+        :param process: the process of the gateway, '' if unknown.
         """
         self.sends += 1
         now = clock.now()
-        call, need = self.call, self.need
+        call, params = self.call, self.params
         return hops.Hop(
             call.id,
             host,
             target.upstream.id,
-            need.service,
-            need.caller_service,
+            params.service,
+            params.caller_service,
             call.match.key,
             int((call.deadline - now) * MS),
-            max(int((need.goal - now) * MS), -1),
-            need.priority,
+            max(int((params.goal - now) * MS), -1),
+            params.priority,
             call.idempotent,
-            need.inner,
-            least is None,
+            params.nested,
+            min_value is None,
             len(self.reached - {target.upstream.id}) > 0,
-            need.echo,
+            params.caller_repeated,
             self.sends,
             process,
-            trip=self.token,
-            least=int((least or 0.0) * THOUSAND),
-            second=int(again * THOUSAND),
-            calm=calm,
-            last=self.final_attempt,
-            paid=paid,
-            usual_ms=int(usual_s * MS),
+            token=self.token,
+            min_value=int((min_value or 0.0) * THOUSAND),
+            retry_value=int(retry_value * THOUSAND),
+            service_healthy=service_healthy,
+            final_attempt=self.final_attempt,
+            budgeted=budgeted,
+            typical_ms=int(typical_s * MS),
             digest=call.digest,
         )
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -1,4 +1,4 @@
-"""Runs requests at the upstreams of this host, and learns from each run."""
+"""Runs requests at the upstreams of this host and evaluates each run."""
 
 import math
 import typing
@@ -7,10 +7,10 @@
 from carawaystair import codes
 from carawaystair import decisions
 from carawaystair.gateway import hops
-from carawaystair.gateway import instances as lives_module
-from carawaystair.gateway import nested_calls as inners
-from carawaystair.gateway import request_metrics as figures_module
-from carawaystair.gateway import run_observer as evidence_module
+from carawaystair.gateway import instances
+from carawaystair.gateway import nested_calls
+from carawaystair.gateway import request_metrics
+from carawaystair.gateway import run_observer
 from carawaystair.gateway import send_attempts
 from carawaystair.gateway import slots as slots_module
 from carawaystair import interfaces
@@ -30,11 +30,11 @@
 from carawaystair.request import incoming
 from carawaystair import settings as settings_module
 
-# Statuses that promise that a request was not run.  An upstream that says so
-# without its mark of a request that was not run is not believed.
-PROMISES = frozenset((408, 421, 429, 503))
+# Statuses that promise that a request was not run.  The promise is trusted
+# only if the upstream's not-run header comes with it.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 MISDIRECTED = 421
-OUT_OF_TIME = 504
+GATEWAY_TIMEOUT = 504
 MS = 1000
 THOUSAND = 1000
 PERCENT = 100
@@ -43,10 +43,10 @@
 
 
 class Body(typing.NamedTuple):
-    """The body of a request that was handed over.
+    """The body of a received request.
 
-    :param data: its bytes, None while they are not held here.
-    :param source: where they are read from then.
+    :param data: its bytes; None if they are not buffered here.
+    :param source: the stream from which they are read in that case.
     """
 
     data: bytes | None
@@ -54,136 +54,141 @@
 
 
 class Executor:
-    """The upstreams of this host; one for each process.
-
-    :param membership: the upstreams of this host, and who else there is.
-    :param settings: of the process.
-    :param inner: knows of calls that upstreams of this host made.
-    :param figures: counts runs.
-    :param quarantine: knows requests that crash upstreams.
-    :param recorder: takes note of decisions.
+    """Runs requests at the upstreams of this host; one for each process.
+
+    :param membership: the membership service of the process.
+    :param settings: settings of the process.
+    :param nested: tracks nested calls of this host's upstreams.
+    :param metrics: counts runs.
+    :param quarantine: tracks requests that crash upstreams.
+    :param recorder: records events.
     """
 
     def __init__(
         self,
         membership,
         settings: settings_module.Settings,
-        nested_calls: inners.NestedCalls,
-        figures: figures_module.RequestMetrics,
+        nested: nested_calls.NestedCalls,
+        metrics: request_metrics.RequestMetrics,
         quarantine: interfaces.Quarantine,
         recorder: decisions.Recorder,
     ) -> None:
         self.membership = membership
         self.registry = membership.registry
-        self.names = names = settings.headers
+        self.header_names = names = settings.headers
         self.node = settings.node
-        self.nested_calls = nested_calls
-        self.figures = figures
+        self.nested_calls = nested
+        self.metrics = metrics
         self.quarantine = quarantine
         self.crashes = crashes_module.Crashes(quarantine)
         self.recorder = recorder
-        # Nodes have the share of their own first sends; here is the slack.
-        self.budgets = retrying.Budgets(
+        # Nodes have budgets in proportion to their first sends; gateways have
+        # the constant part.
+        self.retry_budgets = retrying.Budgets(
             0.0,
             settings.node.retry_slack,
             settings.node.retry_window_s,
             'slack of %s' % settings.host,
             clock.now(),
         )
-        # The most gateways that each service was seen to have.
-        self.sharers: dict[str, int] = {}
-        self.instances: dict[str, lives_module.Instance] = {}
-        self.running = lives_module.RunningAttempts()
+        # The highest number of gateways seen for each service.
+        self.gateway_counts: dict[str, int] = {}
+        self.instances: dict[str, instances.Instance] = {}
+        self.running = instances.RunningAttempts()
         self.stopping = False
-        self.not_run = names.not_run.lower().encode()
-        self.receipt = names.receipt.lower().encode()
-        self.registry.callbacks.append(self.changed)
+        self.not_run_header = names.not_run.lower().encode()
+        self.receipt_header = names.receipt.lower().encode()
+        self.registry.callbacks.append(self.on_announcement)
 
-    def process(self) -> str:
-        """Return the name of this process, as other nodes know it."""
+    def process_id(self) -> str:
+        """Return the id of this process, as other nodes know it."""
         return str(self.membership.incarnation)
 
-    def mine(self, process: str) -> bool:
-        """Tell whether a name is one of this process."""
-        return process == self.process()
+    def is_own_process(self, process: str) -> bool:
+        """Return whether an id is that of this process."""
+        return process == self.process_id()
 
     # The upstreams of this host
 
     @property
     def slots(self) -> dict[str, slots_module.Slots]:
         """Return the slots of the upstreams of this host."""
-        return {name: life.slots for name, life in self.instances.items()}
+        return {
+            name: instance.slots for name, instance in self.instances.items()
+        }
 
-    def changed(self, name: str) -> None:
-        """Take note of an announcement that changed."""
+    def on_announcement(self, name: str) -> None:
+        """Apply a changed, new or ended announcement of an upstream."""
         lease = self.registry.leases.get(name)
-        said = None if lease is None else lease.announcement
-        life = self.instances.get(name)
-        if life is not None and not _same(life, said):
-            self._end(life, said)
-            life = None
-        if said is None:
-            # What runs there goes on; new work finds no lease.
+        announcement = None if lease is None else lease.announcement
+        instance = self.instances.get(name)
+        if instance is not None and not _is_current(instance, announcement):
+            self._end_instance(instance, announcement)
+            instance = None
+        if announcement is None:
+            # Running requests continue; new ones are refused.
             return
-        if life is None:
-            life = self._begin(name, said)
-        life.hear(said)
-
-    def _begin(
-        self, name: str, said: registries.Announcement
-    ) -> lives_module.Instance:
-        life = lives_module.Instance(name, said, self.process)
-        self.instances[name] = life
-        cut = self.running.cut(name, said.incarnation)
+        if instance is None:
+            instance = self._start_instance(name, announcement)
+        instance.update(announcement)
+
+    def _start_instance(
+        self, name: str, announcement: registries.Announcement
+    ) -> instances.Instance:
+        instance = instances.Instance(name, announcement, self.process_id)
+        self.instances[name] = instance
+        aborted = self.running.abort_older(name, announcement.incarnation)
         self.recorder.tell(
             decisions.LifeBegan(
                 name,
-                said.service,
-                said.address,
-                said.incarnation,
-                said.slots,
-                int(said.warmup_s * MS),
-                cut,
+                announcement.service,
+                announcement.address,
+                announcement.incarnation,
+                announcement.slots,
+                int(announcement.warmup_s * MS),
+                aborted,
             ),
             decisions.BELIEF,
         )
-        return life
+        return instance
 
-    def _end(
-        self, life: lives_module.Instance, said: registries.Announcement | None
+    def _end_instance(
+        self,
+        instance: instances.Instance,
+        announcement: registries.Announcement | None,
     ) -> None:
-        """Let go of a life that is over.
+        """End an instance.
 
-        :param said: of the life that follows, None when there is none.
+        :param announcement: that of the next instance; None if there is none.
         """
-        name, line = life.name, life.slots.queue
+        name, queue = instance.name, instance.slots.queue
         why = 'started anew'
-        if said is None:
+        if announcement is None:
             why = 'left' if name in self.registry.left else 'silent'
         event = decisions.LifeEnded(
             name,
-            life.said.service,
-            life.said.incarnation,
+            instance.announcement.service,
+            instance.announcement.incarnation,
             why,
-            line.running,
-            len(line.waiting),
-            len(life.target.idle),
+            queue.running,
+            len(queue.waiting),
+            len(instance.target.idle),
         )
         self.recorder.tell(event, decisions.BELIEF)
         del self.instances[name]
-        self.crashes.ended(life.target, why == 'left')
-        life.end()
+        self.crashes.ended(instance.target, why == 'left')
+        instance.close()
 
     def close(self) -> None:
-        """Take no new work: the process stops."""
+        """Refuse new requests, as the process stops."""
         self.stopping = True
-        for life in self.instances.values():
-            life.slots.refuse_all(hops.LEAVING)
+        for instance in self.instances.values():
+            instance.slots.refuse_waiting(hops.LEAVING)
 
     def sweep(self, now: float) -> None:
-        """Close connections to upstreams that were idle too long."""
-        for life in self.instances.values():
-            connections.sweep(life.target, now)
+        """Close connections that have been idle for too long."""
+        for instance in self.instances.values():
+            connections.sweep(instance.target, now)
 
     # One request
 
@@ -191,84 +196,92 @@
         self,
         hop: hops.Hop,
         request: incoming.Request,
-        take: typing.Callable[[], typing.Awaitable[Body]],
+        receive_body: typing.Callable[[], typing.Awaitable[Body]],
     ) -> answers.Answer:
-        """Give a request a slot and send it to its upstream.
+        """Run a request once it has a slot.
 
-        :param take: returns its body, once it has a slot.
+        :param receive_body: returns its body; called when it has a slot.
         """
-        life = self._life(hop)
+        instance = self._instance(hop)
         self._check_crashing(hop)
-        slots = life.slots
+        slots = instance.slots
         now = clock.now()
-        left_s = hop.left_ms / MS if hop.left_ms >= 0 else -math.inf
-        call = hops.call(hop, request, None, now + left_s)
+        remaining_s = (
+            hop.remaining_ms / MS if hop.remaining_ms >= 0 else -math.inf
+        )
+        call = hops.to_call(hop, request, None, now + remaining_s)
         goal = now + hop.goal_ms / MS if hop.goal_ms >= 0 else now
         want = waiting.Want(
-            hop.key, hop.route, call.deadline, goal, hop.priority, hop.inner
+            hop.key, hop.route, call.deadline, goal, hop.priority, hop.nested
         )
         trial = self._is_trial(hop, slots, want, now)
-        self._check_repeat(hop, now)
+        self._charge_retry(hop, now)
         try:
-            waited_s = await self._wait(hop, life, want)
-            call, source = await self._with_body(hop, slots, call, take)
+            waited_s = await self._wait(hop, instance, want)
+            call, source = await self._with_body(
+                hop, slots, call, receive_body
+            )
             self._check_crashing(hop, slots)
-            self._pay_calls(hop, slots)
+            self._charge_nested_calls(hop, slots)
         except BaseException:
-            self._give_back(hop, now)
+            self._refund_retry(hop, now)
             raise
-        line = slots.queue
+        queue = slots.queue
         self.recorder.tell(
             decisions.Began(
                 hop.id,
                 hop.upstream,
                 hop.host,
                 int(waited_s * MS),
-                line.running,
-                len(line.waiting),
-                line.slots,
+                queue.running,
+                len(queue.waiting),
+                queue.slots,
                 int((call.deadline - clock.now()) * MS),
                 trial,
             )
         )
-        self._count(hop)
+        self._count_first(hop)
         attempt = send_attempts.UpstreamAttempt(
-            call, life.target, self.names, hop.caller_service, source
+            call,
+            instance.target,
+            self.header_names,
+            hop.caller_service,
+            source,
         )
-        self.running.begin(attempt)
+        self.running.add(attempt)
 
         def release() -> None:
-            self.running.end(attempt)
-            slots.free(hop.key)
-            if passing:
-                self._passed(hop, life, attempt)
+            self.running.remove(attempt)
+            slots.release(hop.key)
+            if streaming:
+                self._streaming_ended(hop, instance, attempt)
 
-        passing = False
+        streaming = False
         try:
-            answer = await self._send(hop, life, attempt, waited_s)
+            answer = await self._send(hop, instance, attempt, waited_s)
             if answer.rest is not None:
-                attempt.release = release
-                passing = True
+                attempt.release_slot = release
+                streaming = True
             return answer
         except slots_module.Refused as refused:
-            if refused.reason not in hops.ARRIVED:
-                self._give_back(hop, now)
+            if refused.reason not in hops.SENT_TO_UPSTREAM:
+                self._refund_retry(hop, now)
             raise
         finally:
-            if not passing:
+            if not streaming:
                 release()
 
     async def _wait(
-        self, hop: hops.Hop, life: lives_module.Instance, want: waiting.Want
+        self, hop: hops.Hop, instance: instances.Instance, want: waiting.Want
     ) -> float:
-        """Wait for a slot; return the seconds that it took.
+        """Wait for a slot; return the time that it took, seconds.
 
-        :raises slots.Refused: when there is none in time.
+        :raises slots.Refused: when no slot will be free in time.
         """
-        waited_s = await life.slots.take(want, hop.stays)
-        if self.instances.get(hop.upstream) is not life:
-            # The life that it was given a slot of has ended meanwhile.
-            life.slots.free(hop.key)
+        waited_s = await instance.slots.acquire(want, hop.may_wait)
+        if self.instances.get(hop.upstream) is not instance:
+            # The instance ended while the request waited for its slot.
+            instance.slots.release(hop.key)
             raise slots_module.Refused(hops.LEAVING)
         return waited_s
 
@@ -277,21 +290,21 @@
         hop: hops.Hop,
         slots: slots_module.Slots,
         call: calls.Call,
-        take: typing.Callable[[], typing.Awaitable[Body]],
+        receive_body: typing.Callable[[], typing.Awaitable[Body]],
     ) -> tuple[calls.Call, bodies.Source | None]:
-        """Return a request with its body; its slot is freed if none comes.
+        """Receive a request's body; release its slot if that fails.
 
-        :raises slots.Refused: when the body breaks off: it was not run.
+        :raises slots.Refused: when the body is incomplete: nothing has run.
         """
         try:
-            body = await take()
+            body = await receive_body()
         except caller.Refused as refused:
-            slots.free(hop.key)
+            slots.release(hop.key)
             raise slots_module.Refused(
                 hops.UNREACHABLE, refused.detail
             ) from None
         except BaseException:
-            slots.free(hop.key)
+            slots.release(hop.key)
             raise
         return call._replace(body=body.data), body.source
 
@@ -302,126 +315,135 @@
         want: waiting.Want,
         now: float,
     ) -> bool:
-        """Tell whether a request runs here only for what it shows.
+        """Return whether the request is a trial of a failing upstream.
 
         :raises slots.Refused: when it should not run here.
         """
-        if hop.stays:
+        if hop.may_wait:
             return False
         offer = gate.Offer(
-            hop.last or hop.repeat or not hop.idempotent,
+            hop.final_attempt or hop.repeat or not hop.idempotent,
             hop.repeat,
-            hop.second / THOUSAND,
-            hop.least / THOUSAND,
-            hop.calm,
-            hop.usual_ms / MS,
+            hop.retry_value / THOUSAND,
+            hop.min_value / THOUSAND,
+            hop.service_healthy,
+            hop.typical_ms / MS,
         )
         answer = slots.gate.answer(offer, want, now)
         if answer.reason:
             raise slots_module.Refused(answer.reason, answer.detail)
         return answer.trial
 
-    def _check_repeat(self, hop: hops.Hop, now: float) -> None:
-        """Take a repeat that its sender did not pay for from the slack.
+    def _charge_retry(self, hop: hops.Hop, now: float) -> None:
+        """Charge a repeat that its sender did not budget to the slack.
 
-        :raises slots.Refused: when the service may not get any more.
+        :raises slots.Refused: when the slack of the service is used up.
         """
-        if not _takes_slack(hop):
+        if not _uses_slack(hop):
             return
-        budget = self.budgets.of(hop.service)
-        if not budget.repeat(now, self._sharers(hop.service)):
+        budget = self.retry_budgets.of(hop.service)
+        if not budget.repeat(now, self._gateway_count(hop.service)):
             raise slots_module.Refused(hops.SPENT, 'slack')
 
-    def _give_back(self, hop: hops.Hop, taken_at: float) -> None:
-        """Put back what :meth:`_check_repeat` took: it reached nobody.
+    def _refund_retry(self, hop: hops.Hop, taken_at: float) -> None:
+        """Refund :meth:`_charge_retry` for a repeat that did not run.
 
-        Symptom without it: while all are busy, each question for a repeat
-        takes one away, and those that find a slot are refused.
+        Otherwise, while all upstreams are busy, repeats that are refused
+        would use up the budget, and those that find a slot would be refused.
         """
-        if _takes_slack(hop):
-            self.budgets.of(hop.service).give_back(taken_at)
+        if _uses_slack(hop):
+            self.retry_budgets.of(hop.service).give_back(taken_at)
 
     def _check_crashing(
         self, hop: hops.Hop, slots: slots_module.Slots | None = None
     ) -> None:
-        """Refuse a request under which upstreams crashed.
+        """Refuse a request that crashes upstreams.
 
-        :param slots: where it has one, which is freed.
-        :raises slots.Refused: when it is not to reach an upstream.
+        :param slots: those in which it has a slot, which is released.
+        :raises slots.Refused: when the request is in quarantine.
         """
         if not self.quarantine.refuses(hop.digest):
             return
         if slots is not None:
-            slots.free(hop.key)
+            slots.release(hop.key)
         lives = self.quarantine.standing(hop.digest).lives
         raise slots_module.Refused(hops.CRASHING, ' '.join(lives))
 
-    def _pay_calls(self, hop: hops.Hop, slots: slots_module.Slots) -> None:
-        """Pay for the calls of a repeat.
+    def _charge_nested_calls(
+        self, hop: hops.Hop, slots: slots_module.Slots
+    ) -> None:
+        """Charge the nested calls of a repeat to the budget.
 
-        :raises slots.Refused: when they can't be paid; its slot is freed.
+        :raises slots.Refused: when the budget is used up; its slot is
+            released.
         """
         payer = self.nested_calls.payer
         if hop.repeat and not payer.pay(hop.id, hop.service, clock.now()):
-            slots.free(hop.key)
+            slots.release(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
 
-    def _count(self, hop: hops.Hop) -> None:
-        """Count a request that goes to its upstream now."""
-        if not hop.repeat and not hop.echo:
-            self.budgets.of(hop.service).first(clock.now())
+    def _count_first(self, hop: hops.Hop) -> None:
+        """Count a first run, in proportion to which repeats are allowed."""
+        if not hop.repeat and not hop.caller_repeated:
+            self.retry_budgets.of(hop.service).first(clock.now())
 
-    def _sharers(self, service: str) -> int:
-        """Return how many gateways share the repeats of a service.
+    def _gateway_count(self, service: str) -> int:
+        """Return how many gateways share the retry budget of a service.
 
-        The most that were ever seen: a part of the fleet that is cut off
-        must not take the whole bound for itself.
+        The highest number ever seen counts, so that a partition of the fleet
+        does not use the whole budget on its own.
         """
         now = len(self.membership.directory.upstreams(service))
-        most = max(self.sharers.get(service, 1), now)
-        self.sharers[service] = most
+        most = max(self.gateway_counts.get(service, 1), now)
+        self.gateway_counts[service] = most
         return most
 
-    def _life(self, hop: hops.Hop) -> lives_module.Instance:
-        """Return the life of an upstream that takes new work."""
-        life = self.instances.get(hop.upstream)
-        if life is None:
+    def _instance(self, hop: hops.Hop) -> instances.Instance:
+        """Return the instance that is to run a request.
+
+        :raises slots.Refused: when it takes no new work.
+        """
+        instance = self.instances.get(hop.upstream)
+        if instance is None:
             raise slots_module.Refused(hops.ABSENT)
-        if self.stopping or life.said.state != interfaces.UP:
+        if self.stopping or instance.announcement.state != interfaces.UP:
             raise slots_module.Refused(hops.LEAVING)
-        return life
+        return instance
 
     # At the upstream
 
     async def _send(
         self,
         hop: hops.Hop,
-        life: lives_module.Instance,
+        instance: instances.Instance,
         attempt: send_attempts.UpstreamAttempt,
         waited_s: float,
     ) -> answers.Answer:
-        """Send a request to its upstream and learn from what comes.
+        """Send a request to its upstream and evaluate the outcome.
 
-        :param life: of the upstream.
-        :param waited_s: how long it waited for its slot.
+        :param instance: the instance of the upstream.
+        :param waited_s: how long the request waited for its slot.
         """
         began = clock.now()
-        slots = life.slots
-        evidence = evidence_module.RunObserver(hop.upstream, slots, hop.route)
-        self.nested_calls.began(
-            hop.id, hop.service, hop.priority, hop.repeat or hop.echo
+        slots = instance.slots
+        observer = run_observer.RunObserver(hop.upstream, slots, hop.route)
+        self.nested_calls.run_started(
+            hop.id,
+            hop.service,
+            hop.priority,
+            hop.repeat or hop.caller_repeated,
         )
         status, detail = 0, ''
         outcome = interfaces.CANCELLED
         try:
-            answer = await send_attempts.answer_of(
+            answer = await send_attempts.send_for_answer(
                 attempt, attempt.call.deadline
             )
             status = answer.status
             outcome = self._outcome(answer)
             if outcome == interfaces.GOOD and answer.rest is None:
-                self._ended_well(hop, life)
-            return self._checked(answer, outcome)
+                self._completed(hop, instance)
+            return self._forwardable(answer, outcome)
         except answers.Failed as failed:
             outcome, detail = failed.outcome, failed.detail
             if not failed.sent:
@@ -429,14 +451,14 @@
                     hops.UNREACHABLE, failed.detail
                 ) from None
             if outcome == interfaces.BROKEN:
-                self.crashes.broke(life.target, hop.digest, hop.id)
+                self.crashes.broke(instance.target, hop.digest, hop.id)
             raise
         finally:
-            evidence.stop()
-            self.nested_calls.ended(hop.id)
+            observer.stop()
+            self.nested_calls.run_ended(hop.id)
             took_s = clock.now() - began
-            self._learn(hop, evidence, outcome, status)
-            self.figures.ran(hop.service, outcome, waited_s, took_s)
+            self._record_evidence(hop, observer, outcome, status)
+            self.metrics.record_run(hop.service, outcome, waited_s, took_s)
             good = outcome == interfaces.GOOD
             self.recorder.tell(
                 decisions.Ended(
@@ -445,59 +467,61 @@
                     outcome,
                     status,
                     int(took_s * MS),
-                    int(slots.failing() * PERCENT),
+                    int(slots.failure_chance() * PERCENT),
                     hop.digest,
                     detail,
                 ),
                 decisions.ROUTINE if good else decisions.TROUBLE,
             )
 
-    def _passed(
+    def _streaming_ended(
         self,
         hop: hops.Hop,
-        life: lives_module.Instance,
+        instance: instances.Instance,
         attempt: send_attempts.UpstreamAttempt,
     ) -> None:
-        """Take note of a long answer that is passed on no more."""
+        """Evaluate the end of a long answer."""
         if attempt.payload.exception() is not None:
-            self.crashes.broke(life.target, hop.digest, hop.id)
+            self.crashes.broke(instance.target, hop.digest, hop.id)
         elif attempt.payload.is_eof():
-            self._ended_well(hop, life)
+            self._completed(hop, instance)
 
-    def _ended_well(self, hop: hops.Hop, life: lives_module.Instance) -> None:
-        """Take note of a good answer that came whole."""
-        life.target.proven = True
+    def _completed(self, hop: hops.Hop, instance: instances.Instance) -> None:
+        """Record a good answer that was complete."""
+        instance.target.proven = True
         self.quarantine.ended_well(hop.digest)
 
     def _outcome(self, answer: answers.Answer) -> str:
-        """Return what an answer shows of its upstream."""
-        marked = headers.value(answer.headers, self.not_run) is not None
+        """Return what an answer says about its upstream."""
+        marked = headers.value(answer.headers, self.not_run_header) is not None
         if marked or answer.status == MISDIRECTED:
             return interfaces.SHED
-        if answer.status >= 500 or answer.status in PROMISES:
+        if answer.status >= 500 or answer.status in NOT_RUN_STATUSES:
             return interfaces.ERROR
         good = 200 <= answer.status < 300
         unsigned = (
-            self.receipt
+            self.receipt_header
             and good
-            and not headers.value(answer.headers, self.receipt)
+            and not headers.value(answer.headers, self.receipt_header)
         )
         return interfaces.BROKEN if unsigned else interfaces.GOOD
 
-    def _checked(self, answer: answers.Answer, outcome: str) -> answers.Answer:
-        """Return an answer that may be passed on."""
+    def _forwardable(
+        self, answer: answers.Answer, outcome: str
+    ) -> answers.Answer:
+        """Return an answer that may be forwarded; raise for all others."""
         if outcome == interfaces.SHED:
-            _drop(answer)
+            _discard(answer)
             moved = answer.status == MISDIRECTED
             raise slots_module.Refused(hops.MOVED if moved else hops.SHED)
         if outcome == interfaces.BROKEN:
-            _drop(answer)
+            _discard(answer)
             raise answers.Failed(
                 outcome, codes.ANSWER_MALFORMED, True, 'no receipt'
             )
-        if answer.status in PROMISES:
-            # Passed on, it would promise that the request has not run.
-            _drop(answer)
+        if answer.status in NOT_RUN_STATUSES:
+            # Forwarded, it would promise that the request has not run.
+            _discard(answer)
             raise answers.Failed(
                 outcome,
                 codes.ANSWER_LOST,
@@ -506,49 +530,53 @@
             )
         return answer
 
-    def _learn(
+    def _record_evidence(
         self,
         hop: hops.Hop,
-        evidence: evidence_module.RunObserver,
+        observer: run_observer.RunObserver,
         outcome: str,
         status: int,
     ) -> None:
-        """Let the end of a run count as evidence about its upstream."""
+        """Record the outcome of a run as evidence about its upstream."""
         if outcome == interfaces.GOOD:
-            evidence.succeeded()
+            observer.succeeded()
         elif outcome == interfaces.SHED:
-            evidence.shed()
-        elif outcome == interfaces.CANCELLED or status == OUT_OF_TIME:
+            observer.shed()
+        elif outcome == interfaces.CANCELLED or status == GATEWAY_TIMEOUT:
             return
-        elif outcome == interfaces.ERROR and self.nested_calls.to_blame(
-            hop.id
+        elif (
+            outcome == interfaces.ERROR
+            and self.nested_calls.may_explain_failure(hop.id)
         ):
-            # It failed for what it had called, as a rule.
+            # Most probably the failed nested call is the cause.
             return
         else:
-            evidence.failed()
+            observer.failed()
 
     def report(self, upstream: str, route: str = '') -> placing.Report:
-        """Return what other nodes should know of an upstream."""
-        life = self.instances.get(upstream)
-        if life is None:
-            return slots_module.Slots(self.process, 0).report(route)
-        report = life.slots.report(route)
-        return report._replace(incarnation=life.said.incarnation)
+        """Return the state of an upstream for other nodes."""
+        instance = self.instances.get(upstream)
+        if instance is None:
+            return slots_module.Slots(self.process_id, 0).report(route)
+        report = instance.slots.report(route)
+        return report._replace(incarnation=instance.announcement.incarnation)
 
 
-def _takes_slack(hop: hops.Hop) -> bool:
-    """Tell whether a request counts as a repeat that nobody paid for."""
-    return (hop.repeat or hop.echo) and not hop.paid
+def _uses_slack(hop: hops.Hop) -> bool:
+    """Return whether a request is a repeat that its sender did not budget."""
+    return (hop.repeat or hop.caller_repeated) and not hop.budgeted
 
 
-def _same(
-    life: lives_module.Instance, said: registries.Announcement | None
+def _is_current(
+    instance: instances.Instance, announcement: registries.Announcement | None
 ) -> bool:
-    """Tell whether an announcement is of a life that is known."""
-    return said is not None and said.incarnation == life.said.incarnation
+    """Return whether an announcement is one of the given instance."""
+    return (
+        announcement is not None
+        and announcement.incarnation == instance.announcement.incarnation
+    )
 
 
-def _drop(answer: answers.Answer) -> None:
+def _discard(answer: answers.Answer) -> None:
     if answer.rest is not None:
         answer.rest.drop()
--- a/carawaystair/gateway/gateway_client.py
+++ b/carawaystair/gateway/gateway_client.py
@@ -1,8 +1,8 @@
-"""Hands a request over to one gateway and returns what comes of it.
+"""Sends a request to one gateway and returns its answer.
 
-A connection may be lost while the request is on its way, while it runs, or
-while its answer returns.  The gateway knows requests by their keys, so it is
-asked again, see ``resuming``.  Only when that brings nothing the request
+A connection may be lost while a request is on its way, while it runs, or
+while its answer returns.  The gateway identifies requests by their keys, so
+that they can be resumed, see ``resuming``.  Only if that fails the request
 counts as lost.
 """
 
@@ -19,323 +19,355 @@
 from carawaystair.gateway import runs
 from carawaystair.gateway import send_attempts
 from carawaystair.gateway import transit
-from carawaystair.gateway import upstream_pool as knowns
+from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 from carawaystair.request import target as targets
 
-# A gateway that has shown that it has a request counts as silent after three
-# times its usual interval, seconds.
-SILENCE_S = 0.9
-# A body of more bytes goes out only when the gateway has a slot for it.  Sent
-# with its head it would cross the network once for each gateway that refuses,
-# and hold up what stands behind it.
+# A gateway that has acknowledged a request counts as silent after three of its
+# intervals without an interim answer, seconds.
+SILENCE_TIMEOUT_S = 0.9
+# Bodies of more bytes are sent only when the gateway has a slot for them.
+# Otherwise they would cross the network once for each gateway that refuses,
+# and delay what is sent after them.
 EXPECT_CONTINUE_BYTES = 8 * 1024
-# A gateway that has said nothing of itself may be of a version that waits for
-# the body; after so many signs of life it gets it unasked.
-UNASKED_SIGNS = 3
-# A request that may run elsewhere is offered there when its gateway is silent
-# for so long, and asked for no longer once all connections are lost, seconds.
-RESUME_REPEATABLE_S = 0.6
+# A gateway that has never reported its state may be of a version that waits
+# for the body; it gets the body unasked after this number of interim answers.
+SIGNS_BEFORE_BODY = 3
+# An idempotent request is offered to another upstream when its gateway has
+# been silent for this time, and no longer resumed once all its connections are
+# lost, seconds.
+IDEMPOTENT_RESUME_S = 0.6
 MS = 1000
 
 
 class GatewayClient:
-    """Hands requests over; one for each node.
+    """Sends requests to gateways; one for each node.
 
     :param host: the host of this node.
-    :param paths: the ways to gateways.
-    :param known: takes the reports of gateways.
-    :param process: returns the process of a host, as far as is known.
-    :param recorder: takes note of decisions.
+    :param path_monitor: tracks the reachability of gateways.
+    :param pool: receives the reports of gateways.
+    :param process_of: returns the process that runs on a host, or ''.
+    :param recorder: records events.
     """
 
     def __init__(
         self,
         host: str,
-        paths: paths_module.PathMonitor,
-        known: knowns.UpstreamPool,
-        process: typing.Callable[[str], str],
+        path_monitor: paths_module.PathMonitor,
+        pool: upstream_pool.UpstreamPool,
+        process_of: typing.Callable[[str], str],
         recorder: decisions.Recorder,
     ) -> None:
         self.host = host
-        self.paths = paths
-        self.known = known
-        self.board = known.board
-        self.process = process
+        self.path_monitor = path_monitor
+        self.pool = pool
+        self.board = pool.board
+        self.process_of = process_of
         self.recorder = recorder
-        self.clocks = transit.ClockOffsets()
+        self.clock_offsets = transit.ClockOffsets()
         self.resumed = 0
 
-    async def exchange(
+    async def send(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
-        least: float | None,
-        again: float,
-        paid: bool,
+        min_value: float | None,
+        retry_value: float,
+        budgeted: bool,
     ) -> answers.Answer:
-        """Hand a request over and return its answer.
+        """Send a request and return its answer.
 
-        :param least: what it must be worth there; None when it may wait
-            there whatever that is.
-        :param again: what it is worth if it fails there, 0 to 1.
-        :param paid: whether this node counted it among its repeats.
-        :raises trips.Declined: when it was not run there and will not be.
+        :param min_value: value that it must have there to be accepted; None
+            when it may wait there whatever its value.
+        :param retry_value: value that is left if it fails there, 0 to 1.
+        :param budgeted: whether it was charged to this node's retry budget.
+        :raises dispatches.Declined: when it was not run there and will not
+            be.
         :raises answers.Failed: when there is no answer.
         """
-        process = self.process(target.upstream.host)
-        usual_s = self.board.durations.of(trip.call.match.key)
-        calm = not self.known.spreadings[trip.need.service].everywhere
-        first = trip.hop(
-            self.host, target, least, again, paid, calm, usual_s, process
+        process = self.process_of(target.upstream.host)
+        typical_s = self.board.durations.of(dispatch.call.match.key)
+        service_healthy = not self.pool.spreadings[
+            dispatch.params.service
+        ].everywhere
+        first = dispatch.hop(
+            self.host,
+            target,
+            min_value,
+            retry_value,
+            budgeted,
+            service_healthy,
+            typical_s,
+            process,
         )
         view = self.board.view(target.upstream.id)
-        attempt = self._attempt(trip, target, first, not view.reachable)
-        lost = dispatches.LostConnection(target, process, paid)
-        limit_s = RESUME_REPEATABLE_S if trip.call.idempotent else math.inf
+        attempt = self._new_attempt(
+            dispatch, target, first, not view.reachable
+        )
+        lost = dispatches.LostConnection(target, process, budgeted)
+        timeout_s = (
+            IDEMPOTENT_RESUME_S if dispatch.call.idempotent else math.inf
+        )
         try:
-            return await self.answer(trip, target, attempt, self)
-        except resuming.Unresponsive as doubted:
-            return await self._resume(trip, lost, limit_s, doubted.attempt)
+            return await self.answer(dispatch, target, attempt, self)
+        except resuming.Unresponsive as silent:
+            return await self._resume(
+                dispatch, lost, timeout_s, silent.attempt
+            )
         except answers.Failed as failed:
-            may_have_it = failed.sent and failed.outcome in resuming.LOST
-            if not may_have_it or not _may_ask_again(trip, lost):
+            may_be_there = (
+                failed.sent and failed.outcome in resuming.LOST_OUTCOMES
+            )
+            if not may_be_there or not _can_resume(dispatch, lost):
                 raise
-            return await self._resume(trip, lost, limit_s, None, failed)
+            return await self._resume(dispatch, lost, timeout_s, None, failed)
 
     async def _resume(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         lost: dispatches.LostConnection,
-        limit_s: float,
+        timeout_s: float,
         attempt: send_attempts.GatewayAttempt | None = None,
         failed: answers.Failed | None = None,
     ) -> answers.Answer:
-        """Ask for a request again, see :class:`resuming.Resumption`."""
+        """Resume a request, see :class:`resuming.Resumption`."""
         resumption = resuming.Resumption(
-            self, trip, lost, limit_s, self.recorder
+            self, dispatch, lost, timeout_s, self.recorder
         )
         try:
             return await resumption.answer(attempt, failed)
         except answers.Failed as failure:
-            if failure.outcome in resuming.LOST:
-                trip.lost = lost
+            if failure.outcome in resuming.LOST_OUTCOMES:
+                dispatch.lost_connection = lost
             raise
 
-    async def find(self, trip: dispatches.Dispatch) -> answers.Answer | None:
+    async def recover(
+        self, dispatch: dispatches.Dispatch
+    ) -> answers.Answer | None:
         """Return the answer of a run whose connection was lost, if any.
 
-        Nothing can take the place of that run.  Its gateway goes on with it
+        Called when no other run is possible; the gateway continues the run
         for a while.
         """
-        lost, trip.lost = trip.lost, None
-        if lost is None or clock.now() >= trip.call.deadline:
+        lost, dispatch.lost_connection = dispatch.lost_connection, None
+        if lost is None or clock.now() >= dispatch.call.deadline:
             return None
         try:
-            return await self._resume(trip, lost, runs.ORPHAN_S)
+            return await self._resume(dispatch, lost, runs.ORPHAN_TIMEOUT_S)
         except (dispatches.Declined, answers.Failed):
-            # What is known of it already is told.
+            # The earlier failure is reported instead.
             return None
 
-    def again(
+    def resume_attempt(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         lost: dispatches.LostConnection,
         detour: bool,
     ) -> send_attempts.GatewayAttempt:
-        """Return a further question for a request, not sent yet."""
+        """Return a further attempt for a request, not sent yet."""
         self.resumed += 1
-        hop = trip.hop(
+        hop = dispatch.hop(
             self.host,
             lost.target,
             None,
             0.0,
-            lost.paid,
+            lost.budgeted,
             False,
             0.0,
             lost.process,
         )
-        hop = hop._replace(again=True)
-        return self._attempt(trip, lost.target, hop, detour)
+        hop = hop._replace(resumed=True)
+        return self._new_attempt(dispatch, lost.target, hop, detour)
 
-    def _attempt(
+    def _new_attempt(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
         hop: hops.Hop,
         detour: bool,
     ) -> send_attempts.GatewayAttempt:
-        """Return a question that goes directly or through a third node."""
-        asks = trip.size > EXPECT_CONTINUE_BYTES
-        # It stays open for as long as its answer is owed.
-        hop = hop._replace(patience_ms=hop.left_ms, asks=asks)
-        its_clock = self.clocks.of(target.upstream.host, hop.process)
-        helper = self.paths.helper(target) if detour else None
-        if helper is None or trip.call.body is None:
+        """Return an attempt on the direct path or through a third node."""
+        expects = dispatch.size > EXPECT_CONTINUE_BYTES
+        # The connection stays open until the deadline.
+        hop = hop._replace(
+            sender_timeout_ms=hop.remaining_ms, expects_continue=expects
+        )
+        offset = self.clock_offsets.of(target.upstream.host, hop.process)
+        via = self.path_monitor.intermediary(target) if detour else None
+        if via is None or dispatch.call.body is None:
             return send_attempts.GatewayAttempt(
-                trip.call, target, hop, hop.again, gateway_clock=its_clock
+                dispatch.call, target, hop, hop.resumed, clock_offset=offset
             )
-        hop = hop._replace(detour=target.upstream.address, asks=False)
+        hop = hop._replace(
+            detour=target.upstream.address, expects_continue=False
+        )
         return send_attempts.GatewayAttempt(
-            trip.call, helper, hop, helper=True, gateway_clock=its_clock
+            dispatch.call, via, hop, via_detour=True, clock_offset=offset
         )
 
     async def answer(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
         attempt: send_attempts.GatewayAttempt,
-        signs: resuming.ProgressObserver,
+        observer: resuming.ProgressObserver,
     ) -> answers.Answer:
-        """Send a question unless it was sent, and return its answer.
+        """Send an attempt if it is not sent yet, and return its answer.
 
-        :param signs: is told of the gateway's signs of life.
-        :raises trips.Declined: when it was not run there.
+        :param observer: is notified of the gateway's signs of life.
+        :raises dispatches.Declined: when the request was not run there.
         :raises answers.Failed: when there is no answer.
         """
         try:
-            answer = await self._answer(trip, attempt, signs)
+            answer = await self._answer(dispatch, attempt, observer)
         finally:
-            trip.begun = trip.begun or attempt.may_run
-        return self._understood(target, answer, attempt)
+            dispatch.body_started = (
+                dispatch.body_started or attempt.may_have_run
+            )
+        return self._interpret(target, answer, attempt)
 
     async def _answer(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         attempt: send_attempts.GatewayAttempt,
-        signs: resuming.ProgressObserver,
+        observer: resuming.ProgressObserver,
     ) -> answers.Answer:
-        deadline = trip.call.deadline
+        deadline = dispatch.call.deadline
         try:
             if attempt.connection is None:
                 await attempt.connect()
                 attempt.send()
-            await self._head(attempt, deadline, signs)
+            await self._wait_for_head(attempt, deadline, observer)
             answer = await attempt.answer(deadline)
         except resuming.Unresponsive:
             raise
         except TimeoutError:
-            attempt.take_back()
+            attempt.reset()
             late = clock.now() >= deadline
             if not late:
-                self.paths.lost(attempt.target)
+                self.path_monitor.mark_unreachable(attempt.target)
             outcome = interfaces.TIMEOUT if late else interfaces.SILENT
             code = codes.ANSWER_LATE if late else codes.ANSWER_LOST
-            raise answers.Failed(outcome, code, attempt.may_run) from None
+            raise answers.Failed(outcome, code, attempt.may_have_run) from None
         except answers.Failed as failed:
-            attempt.take_back()
+            attempt.reset()
             if failed.outcome == interfaces.REFUSED:
-                self.paths.lost(attempt.target)
+                self.path_monitor.mark_unreachable(attempt.target)
             raise
-        except send_attempts.BROKEN as error:
-            attempt.take_back()
+        except send_attempts.CONNECTION_ERRORS as error:
+            attempt.reset()
             raise answers.Failed(
                 interfaces.BROKEN,
                 codes.ANSWER_LOST,
-                attempt.may_run,
+                attempt.may_have_run,
                 str(error),
             ) from None
         except BaseException:
-            # The caller has gone, as a rule.
-            attempt.leave()
+            # Most probably the caller has left.
+            attempt.abandon()
             raise
         if answer.rest is None:
             attempt.settle(clock.now())
         return answer
 
-    async def _head(
+    async def _wait_for_head(
         self,
         attempt: send_attempts.GatewayAttempt,
         deadline: float,
-        signs: resuming.ProgressObserver,
+        observer: resuming.ProgressObserver,
     ) -> None:
-        """Wait until the head of the answer is here.
+        """Wait for the head of the final answer.
 
-        :raises TimeoutError: at the deadline, and when there is no sign of
-            life from a gateway that can't have begun.
+        :raises TimeoutError: at the deadline, and when a gateway that can't
+            have begun shows no sign of life.
         """
         while True:
-            silence_s = SILENCE_S if attempt.signs else attempt.sign_s
+            silence_s = (
+                SILENCE_TIMEOUT_S
+                if attempt.sign_count
+                else attempt.first_sign_timeout_s
+            )
             until = min(clock.now() + silence_s, deadline)
             try:
-                if await attempt.sign(until):
-                    self._see_answer(attempt, signs)
+                if await attempt.wait_sign(until):
+                    self._observe_answer(attempt, observer)
                     return
             except TimeoutError as error:
                 if attempt.broken:
-                    # The system gave the connection up: that is no silence.
+                    # The operating system closed it; that is not silence.
                     raise ConnectionAbortedError(str(error)) from None
-                if clock.now() >= deadline or not attempt.may_run:
+                if clock.now() >= deadline or not attempt.may_have_run:
                     raise
-                self._doubt(attempt)
-                signs.doubted(attempt)
+                self._suspect_path(attempt)
+                observer.on_silence(attempt)
                 continue
-            signs.seen(attempt)
-            if attempt.signs >= UNASKED_SIGNS and not self.board.knows(
-                attempt.hop.upstream
+            observer.on_sign_of_life(attempt)
+            if (
+                attempt.sign_count >= SIGNS_BEFORE_BODY
+                and not self.board.knows(attempt.hop.upstream)
             ):
-                attempt.proceed()
+                attempt.send_body()
 
-    def _see_answer(
+    def _observe_answer(
         self,
         attempt: send_attempts.GatewayAttempt,
-        signs: resuming.ProgressObserver,
+        observer: resuming.ProgressObserver,
     ) -> None:
-        """Take the head of an upstream's answer for a sign of life."""
-        told = attempt.message.headers
+        """Treat the head of an upstream's answer as a sign of life."""
+        received = attempt.message.headers
         own = (hops.REFUSAL.decode(), hops.FAILURE.decode())
-        if not any(name in told for name in own):
-            signs.seen(attempt)
+        if not any(name in received for name in own):
+            observer.on_sign_of_life(attempt)
 
-    def _doubt(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note of a way on which nothing comes for long."""
-        if attempt.hop.again and not attempt.helper:
-            self.paths.lost(attempt.target)
+    def _suspect_path(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Mark a direct path on which nothing arrives as unreachable."""
+        if attempt.hop.resumed and not attempt.via_detour:
+            self.path_monitor.mark_unreachable(attempt.target)
 
-    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Leave a first question, if it can be asked again."""
+    def on_silence(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Stop waiting for a first attempt if it can be resumed."""
         if attempt.call.body is not None and attempt.hop.process:
             raise resuming.Unresponsive(attempt)
         if attempt.target.upstream.state == interfaces.GONE:
-            # Nothing will come from there, and it can't be asked again.
+            # No answer will come, and it can't be resumed either.
             raise TimeoutError
 
-    def cut(self, target: targets.Target) -> None:
-        """Take note that a gateway was reached by a third node only."""
-        self.paths.lost(target)
+    def on_path_failed(self, target: targets.Target) -> None:
+        """Mark a gateway that only a third node has reached."""
+        self.path_monitor.mark_unreachable(target)
 
-    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note of a sign of life; a first question needs none."""
+    def on_sign_of_life(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Ignore a sign of life: a first attempt just keeps waiting."""
 
-    def _understood(
+    def _interpret(
         self,
         target: targets.Target,
         answer: answers.Answer,
         attempt: send_attempts.GatewayAttempt,
     ) -> answers.Answer:
-        """Return an upstream's answer; raises what a gateway says."""
-        value = hops.says(answer, hops.REPORT)
-        report = hops.read_report(value.encode()) if value else None
+        """Return an upstream's answer; raise a gateway's own answer."""
+        value = hops.header_value(answer, hops.REPORT)
+        report = hops.parse_report(value.encode()) if value else None
         if report is not None and report.process:
             now = clock.now()
             route = attempt.hop.route
             self.board.heard(target.upstream.id, report, now, route)
             if report.read_ms:
-                its_clock = self.clocks.of(
+                offset = self.clock_offsets.of(
                     target.upstream.host, report.process
                 )
-                its_clock.observe(attempt.asked_ms, report.read_ms)
-        refusal = hops.says(answer, hops.REFUSAL)
+                offset.observe(attempt.sent_at_ms, report.read_ms)
+        refusal = hops.header_value(answer, hops.REFUSAL)
         if refusal:
             raise dispatches.Declined(refusal, report)
-        failure = hops.says(answer, hops.FAILURE)
+        failure = hops.header_value(answer, hops.FAILURE)
         if failure:
             code = codes.TABLE[int(failure.rpartition('-')[2])]
             late = code is codes.ANSWER_LATE
             outcome = interfaces.TIMEOUT if late else interfaces.ERROR
-            if attempt.helper and (report is None or not report.process):
-                # Those are words of the third node: its way on broke.
+            if attempt.via_detour and (report is None or not report.process):
+                # The third node itself answered: its connection broke.
                 outcome = interfaces.BROKEN
             raise answers.Failed(
                 outcome,
@@ -346,8 +378,8 @@
         return answer
 
 
-def _may_ask_again(
-    trip: dispatches.Dispatch, lost: dispatches.LostConnection
+def _can_resume(
+    dispatch: dispatches.Dispatch, lost: dispatches.LostConnection
 ) -> bool:
-    """Tell whether a gateway can be asked for a request again."""
-    return trip.call.body is not None and bool(lost.process)
+    """Return whether a request can be resumed at its gateway."""
+    return dispatch.call.body is not None and bool(lost.process)
--- a/carawaystair/gateway/hedging.py
+++ b/carawaystair/gateway/hedging.py
@@ -1,11 +1,10 @@
-"""A second run of a request whose first one takes too long.
+"""Hedging: a second run of a request whose first run takes too long.
 
-The load that this answers: some upstreams hang, or run a request and lose its
-answer, and a request that may be repeated stays with one until its caller
-leaves.  What usually ends after half a second and has not after twice as long
-is therefore asked of another upstream as well, if one has a free slot and the
-bound of repeats has room; the first good answer counts, the other run is
-cancelled.
+Some upstreams hang, or run a request and lose its answer; an idempotent
+request would stay there until its caller gives up.  After a multiple of its
+route's typical service time it is therefore sent to a second upstream as
+well, if one has a free slot and the retry budget allows it.  The first good
+answer is used and the other run cancelled.
 """
 
 import asyncio
@@ -20,20 +19,21 @@
 async def hedged(
     first: Sending,
     after_s: float,
-    hurry: asyncio.Future,
+    hedge_early: asyncio.Future,
     second: typing.Callable[[], Sending],
 ) -> answers.Answer | None:
-    """Return the answer of a request, by its first or a second run.
+    """Return the answer of the first run that succeeds.
 
     :param first: the first run; its result is None when it failed.
-    :param after_s: when a second one begins, seconds; infinite for never.
-    :param hurry: lets it begin before that, once done.
-    :param second: begins it; None when nobody took it.
+    :param after_s: delay of the second run, seconds; infinite for none.
+    :param hedge_early: starts the second run early once it is done.
+    :param second: starts the second run; its result is None when no upstream
+        took the request.
     """
     tasks = {asyncio.ensure_future(first)}
     try:
         await asyncio.wait(
-            {*tasks, hurry},
+            {*tasks, hedge_early},
             timeout=None if math.isinf(after_s) else after_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
--- a/carawaystair/gateway/hop_handler.py
+++ b/carawaystair/gateway/hop_handler.py
@@ -1,10 +1,10 @@
-"""The gateway: the only way to the upstreams of this host.
+"""Handles requests that other nodes send to the gateway of this host.
 
-It takes requests that other nodes hand over, gives them a slot of the
-upstream or refuses them, and sees every outcome.  So it knows what runs and
-what waits, holds work to what the upstream can do, stops new work at the
-moment in which the upstream says that it leaves, and can promise that what it
-refused was not run.
+The gateway is the only way to the upstreams of its host.  It gives requests a
+slot of their upstream or refuses them, and sees every outcome.  So it knows
+the running and waiting requests, limits load to what the upstream can do,
+stops new work as soon as the upstream announces that it leaves, and can
+promise that a refused request has not run.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 from carawaystair import codes
 from carawaystair import decisions
 from carawaystair.gateway import detours
-from carawaystair.gateway import executor as works
+from carawaystair.gateway import executor as executors
 from carawaystair.gateway import hops
 from carawaystair.gateway import pacer as pacers
-from carawaystair.gateway import request_metrics as figures_module
+from carawaystair.gateway import request_metrics
 from carawaystair.gateway import runs as runs_module
 from carawaystair.gateway import slots as slots_module
 from carawaystair.gateway import streaming
@@ -30,16 +30,16 @@
 from carawaystair.request import exchange as exchanges
 from carawaystair.request import incoming
 
-# The first interim answer goes out after this time: most refusals and short
-# answers come sooner.
-FIRST_SIGN_S = 0.03
-# Then one in this time; a node that hears none for three times as long takes
-# the connection for lost.
-SIGN_EVERY_S = 0.3
-# An answer that waits longer than this for the link is told as trouble: its
-# host has more to send than its link carries, seconds.
-LONG_WAIT_S = 0.3
-# Bodies are bounded by the node that took them from the caller.
+# Delay of the first interim answer: most refusals and short answers are sent
+# sooner, seconds.
+FIRST_INTERIM_S = 0.03
+# Interval of further ones; a node that receives none for three intervals takes
+# the connection for lost, seconds.
+INTERIM_INTERVAL_S = 0.3
+# An answer that waits longer for the link is recorded as trouble: its host has
+# more to send than its link carries, seconds.
+LONG_PACING_S = 0.3
+# The size of bodies is limited by the node that took them from the caller.
 NO_LIMIT = 2**62
 MS = 1000
 
@@ -47,187 +47,196 @@
 
 
 class HopHandler:
-    """Takes requests from other nodes; one for each process.
+    """Answers other nodes; one for each process.
 
-    :param work: runs requests at the upstreams of this host.
-    :param figures: counts refusals.
-    :param recorder: takes note of decisions.
-    :param pacer: shares the link of this host.
+    :param executor: runs requests at the upstreams of this host.
+    :param metrics: counts refusals.
+    :param recorder: records events.
+    :param pacer: paces sending over the link of this host.
     """
 
     def __init__(
         self,
-        work: works.Executor,
-        figures: figures_module.RequestMetrics,
+        executor: executors.Executor,
+        metrics: request_metrics.RequestMetrics,
         recorder: decisions.Recorder,
         pacer: pacers.Pacer,
     ) -> None:
         self.pacer = pacer
-        self.work = work
-        self.figures = figures
+        self.executor = executor
+        self.metrics = metrics
         self.recorder = recorder
-        self.runs = runs_module.Runs(work.mine, recorder)
+        self.runs = runs_module.Runs(executor.is_own_process, recorder)
         self.active = 0
 
     # One request
 
     async def handle(self, request: incoming.Request) -> bool:
-        """Answer one hop; return whether another may follow."""
-        hop = hops.read(request.headers.get(hops.HOP, ''))
+        """Answer a request; return whether the connection can be reused."""
+        hop = hops.parse(request.headers.get(hops.HOP, ''))
         if hop is None:
-            LOG.warning('Refused a hop that cannot be read.')
-            report = self.work.report('')
+            LOG.warning('Refused a request with a malformed hop header.')
+            report = self.executor.report('')
             hops.write(request, hops.refusal(hops.MALFORMED, '', report))
             return False
         self.active += 1
-        signs = InterimAnswers(request)
+        interim = InterimAnswers(request)
         try:
-            return await self._answer(hop, request, signs)
+            return await self._answer(hop, request, interim)
         except ConnectionError:
             return False
         finally:
-            signs.stop()
+            interim.stop()
             self.active -= 1
 
     async def _answer(
-        self, hop: hops.Hop, request: incoming.Request, signs: 'InterimAnswers'
+        self,
+        hop: hops.Hop,
+        request: incoming.Request,
+        interim: 'InterimAnswers',
     ) -> bool:
         if hop.detour:
-            signs.stop()
-            return await detours.pass_on(hop, request, self.pacer)
+            interim.stop()
+            return await detours.forward(hop, request, self.pacer)
         fresh = transit.deduct_transit_time(hop, clock.uptime_ms())
         if fresh is None:
-            signs.stop()
+            interim.stop()
             self._refuse(hop, request, slots_module.Refused(hops.GIVEN_UP))
-            return _whole(request)
+            return _can_reuse(request)
         hop = fresh
         try:
             answer = await self._run(hop, request)
         except slots_module.Refused as refused:
-            signs.stop()
+            interim.stop()
             self._refuse(hop, request, refused)
-            return _whole(request)
+            return _can_reuse(request)
         except answers.Failed as failed:
-            signs.stop()
+            interim.stop()
             return self._fail(hop, request, failed.code, failed.detail)
         except caller.Refused:
-            # The body broke off: whoever sent it has gone.
+            # The body is incomplete because its sender has gone.
             return False
         except Exception as error:
-            signs.stop()
-            return self._defect(hop, request, error)
-        way = self.pacer.way(hop.host)
-        ready = clock.now()
+            interim.stop()
+            return self._answer_defect(hop, request, error)
+        throttle = self.pacer.throttle(hop.host)
+        ready_at = clock.now()
         try:
             if answer.rest is None:
-                await way.begin(len(answer.body))
-            signs.stop()
-            first = clock.now()
-            goes_on = await self._pass_on(hop, request, answer, way)
+                await throttle.wait_first(len(answer.body))
+            interim.stop()
+            first_at = clock.now()
+            keep_alive = await self._forward(hop, request, answer, throttle)
         finally:
-            way.end()
-        if way.ahead_s is not None:
-            self._tell_paced(hop, answer, way.ahead_s, ready, first)
-        return goes_on
+            throttle.close()
+        if throttle.ahead_s is not None:
+            self._record_paced(
+                hop, answer, throttle.ahead_s, ready_at, first_at
+            )
+        return keep_alive
 
-    def _tell_paced(
+    def _record_paced(
         self,
         hop: hops.Hop,
         answer: answers.Answer,
         ahead_s: float,
-        ready: float,
-        first: float,
+        ready_at: float,
+        first_at: float,
     ) -> None:
-        """Take note of an answer that waited for the link."""
+        """Record an answer that waited for the link."""
         event = decisions.Paced(
             hop.id,
             hop.upstream,
             hop.host,
             len(answer.body),
-            int((first - ready) * MS),
-            int((clock.now() - ready) * MS),
+            int((first_at - ready_at) * MS),
+            int((clock.now() - ready_at) * MS),
             int(ahead_s * MS),
         )
-        late = first - ready > LONG_WAIT_S
-        sort = decisions.TROUBLE if late else decisions.ROUTINE
-        self.recorder.tell(event, sort)
+        late = first_at - ready_at > LONG_PACING_S
+        category = decisions.TROUBLE if late else decisions.ROUTINE
+        self.recorder.tell(event, category)
 
-    async def _pass_on(
+    async def _forward(
         self,
         hop: hops.Hop,
         request: incoming.Request,
         answer: answers.Answer,
-        way: pacers.Throttle,
+        throttle: pacers.Throttle,
     ) -> bool:
         """Write an upstream's answer."""
         exchange = exchanges.Exchange(request, hop.id)
-        extra = hops.report_line(self._report(hop, request))
+        extra_headers = hops.report_line(self._report(hop, request))
         if answer.rest is None:
-            await streaming.whole(answer, exchange, extra, way)
+            await streaming.write_whole(
+                answer, exchange, extra_headers, throttle
+            )
             return exchange.keep_alive
         try:
-            why = await streaming.pass_on(
-                answer.rest, answer, exchange, extra, way
+            why = await streaming.stream(
+                answer.rest, answer, exchange, extra_headers, throttle
             )
         finally:
-            answer.rest.release()
+            answer.rest.release_slot()
         if why:
-            LOG.warning('An answer broke off.', id=hop.id, why=why)
+            LOG.warning('Answer interrupted.', id=hop.id, why=why)
         return exchange.keep_alive and not why
 
     async def _run(
         self, hop: hops.Hop, request: incoming.Request
     ) -> answers.Answer:
-        """Run a request, or wait for its run."""
-        take = functools.partial(self._take, hop, request)
-        if not hop.asks:
-            # A slow body holds no slot.
-            take = functools.partial(_ready, await take())
-        # A process that was stopped for a while finds the request and its
-        # sender's leaving at the same moment; the latter is seen one turn of
-        # the loop later, and must come first.
+        """Run a request, or join its run."""
+        receive_body = functools.partial(self._receive_body, hop, request)
+        if not hop.expects_continue:
+            # Read the body first, so that a slow one holds no slot.
+            receive_body = functools.partial(
+                _already_read, await receive_body()
+            )
+        # When a suspended process continues, it finds a request and the end
+        # of its connection at the same time.  The event loop reports the end
+        # one iteration later, and it must be handled first.
         await asyncio.sleep(0)
-        return await self.runs.once(
+        return await self.runs.run_once(
             hop,
-            lambda: self.work.run(hop, request, take),
+            lambda: self.executor.run(hop, request, receive_body),
             lambda: request.connection.broken,
         )
 
-    async def _take(
+    async def _receive_body(
         self, hop: hops.Hop, request: incoming.Request
-    ) -> works.Body:
-        """Return the body, or where it is read from when it is long."""
+    ) -> executors.Body:
+        """Receive the body; a long one is left to be read from its source."""
         length = bodies.declared(request)
         if length == 0:
-            return works.Body(b'')
-        if hop.asks:
+            return executors.Body(b'')
+        if hop.expects_continue:
             hops.write(request, hops.CONTINUE)
         content = request.content
-        until = clock.now() + hop.left_ms / MS
+        deadline = clock.now() + hop.remaining_ms / MS
         if length is not None and length > bodies.HOLD_BYTES:
             data = b''
-            if hop.asks:
-                # Until some of it is here, its sender may think that it was
-                # not asked for, and send it elsewhere.
-                begun = await bodies.read(content, 0, NO_LIMIT, until)
-                data = begun.data
+            if hop.expects_continue:
+                # Without any data the sender may assume that the body was
+                # not asked for, and send the request elsewhere.
+                start = await bodies.read(content, 0, NO_LIMIT, deadline)
+                data = start.data
             source = bodies.Source(content, length, data, NO_LIMIT)
-            return works.Body(None, source)
-        begun = await bodies.begin(content, NO_LIMIT, until)
-        if begun.whole:
-            return works.Body(begun.data)
-        source = bodies.Source(content, None, begun.data, NO_LIMIT)
-        return works.Body(None, source)
-
-    def _defect(
+            return executors.Body(None, source)
+        start = await bodies.begin(content, NO_LIMIT, deadline)
+        if start.whole:
+            return executors.Body(start.data)
+        source = bodies.Source(content, None, start.data, NO_LIMIT)
+        return executors.Body(None, source)
+
+    def _answer_defect(
         self, hop: hops.Hop, request: incoming.Request, error: Exception
     ) -> bool:
-        """Answer although this program is at fault.
+        """Answer with a failure after an unexpected exception.
 
-        Closed without a word, the connection would be taken for lost, and
-        the request asked for again and again until its time is over.
+        If the connection was just closed, the sender would take it for lost
+        and resume the request again and again until its deadline.
         """
-        LOG.error('A hop failed.', id=hop.id, error=repr(error))
+        LOG.error('Handling a request failed.', id=hop.id, error=repr(error))
         return self._fail(hop, request, codes.INVARIANT_BROKEN, repr(error))
 
     def _fail(
@@ -240,14 +249,14 @@
         """Answer with a failure, which promises nothing."""
         report = self._report(hop, request)
         hops.write(request, hops.failure(code.label, detail, report))
-        return _whole(request)
+        return _can_reuse(request)
 
     def _report(
         self, hop: hops.Hop, request: incoming.Request
     ) -> placing.Report:
-        """Return what the sender of a request should know."""
+        """Return the upstream's state for the sender of a request."""
         held_ms = int((clock.now() - request.arrived) * MS)
-        report = self.work.report(hop.upstream, hop.route)
+        report = self.executor.report(hop.upstream, hop.route)
         return report._replace(read_ms=clock.uptime_ms() - held_ms)
 
     # Refusals
@@ -259,7 +268,7 @@
         refused: slots_module.Refused,
     ) -> None:
         report = self._report(hop, request)
-        self.figures.refused(hop.service, refused.reason)
+        self.metrics.record_refusal(hop.service, refused.reason)
         self.recorder.tell(
             decisions.Declining(
                 hop.id,
@@ -273,7 +282,7 @@
             ),
             decisions.TROUBLE,
         )
-        if refused.reason in hops.UNSURE:
+        if refused.reason in hops.MAY_HAVE_RUN:
             label = codes.ANSWER_LOST.label
             data = hops.failure(label, refused.reason, report)
         else:
@@ -282,7 +291,7 @@
 
 
 class InterimAnswers:
-    """Interim answers, while a request waits or runs.
+    """Sends interim answers while a request waits or runs.
 
     :param request: the request.
     """
@@ -290,26 +299,26 @@
     def __init__(self, request: incoming.Request) -> None:
         self.request = request
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(FIRST_SIGN_S, self._sign)
+        self.timer = loop.call_later(FIRST_INTERIM_S, self._send)
 
-    def _sign(self) -> None:
+    def _send(self) -> None:
         connection = self.request.connection
         if not connection.open:
             return
         connection.transport.write(hops.INTERIM)
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(SIGN_EVERY_S, self._sign)
+        self.timer = loop.call_later(INTERIM_INTERVAL_S, self._send)
 
     def stop(self) -> None:
-        """Send none any more: the answer comes."""
+        """Send no more of them."""
         self.timer.cancel()
 
 
-async def _ready(body: works.Body) -> works.Body:
-    """Return a body that is here already."""
+async def _already_read(body: executors.Body) -> executors.Body:
+    """Return a body that was read before."""
     return body
 
 
-def _whole(request: incoming.Request) -> bool:
-    """Tell whether another request may follow on a connection."""
+def _can_reuse(request: incoming.Request) -> bool:
+    """Return whether the connection can carry another request."""
     return request.keep_alive and request.content.is_eof()
--- a/carawaystair/gateway/hops.py
+++ b/carawaystair/gateway/hops.py
@@ -1,14 +1,15 @@
-"""What one node tells another about a request that it hands over.
-
-A request travels as HTTP/1.1 on a kept connection, one at a time on each:
-its own head and body unchanged, with one header of ours in front.  So bodies
-of any length pass with back-pressure, a caller that leaves shows as a closed
-connection within a round trip, and a long answer never holds up a short one.
-
-The gateway answers with an interim answer (102) as soon as it has the
-request, and again while it works: silence means a lost connection, not a slow
-upstream.  Then comes the upstream's answer, a refusal, which promises that
-the request has not run and will not run, or a failure, which promises
+"""Protocol between two nodes: a request on its way to a gateway.
+
+A request travels as HTTP/1.1 on a persistent connection, one request at a
+time: its own head and body unchanged, with one header of the fleet in front.
+So bodies of any length pass with back-pressure, a caller that leaves shows as
+a closed connection within a round trip, and a long answer never holds up a
+short one.
+
+The gateway sends an interim answer (102) as soon as it has the request and at
+intervals while it works, so that silence means a lost connection, not a slow
+upstream.  The final answer is that of the upstream, a refusal, which promises
+that the request has not run and will not run, or a failure, which promises
 nothing.
 """
 
@@ -27,75 +28,81 @@
 REFUSAL = b'caraway-refusal'
 FAILURE = b'caraway-failure'
 
-# Why a gateway refuses a request, beside the reasons of ``load.rejecting`` and
-# ``load.gate``.
+# Reasons for which a gateway refuses a request, besides those of
+# ``load.rejecting`` and ``load.gate``.
 LEAVING = 'leaving'  # the upstream or its node is about to stop
 ABSENT = 'absent'  # no such upstream is announced here
 UNREACHABLE = 'unreachable'  # no connection to the upstream could be made
-SPENT = 'spent'  # no more repeats may reach the service
-SHED = 'shed'  # the upstream itself refused; it was sent there
-MOVED = 'moved'  # another upstream has the address; it was sent there
+SPENT = 'spent'  # the retry budget of the service is used up
+SHED = 'shed'  # the upstream itself refused the request
+MOVED = 'moved'  # another upstream answered at the address
 STALE = 'stale'  # a later send of the same request was seen before
 RESTARTED = 'restarted'  # another process had the request; it may have run
-MALFORMED = 'malformed'  # the hop could not be read
-CRASHING = 'crashing'  # upstreams crashed under this request
-GIVEN_UP = 'given up'  # its sender waits for it no more
+MALFORMED = 'malformed'  # the hop header could not be parsed
+CRASHING = 'crashing'  # upstreams crashed while they ran this request
+GIVEN_UP = 'given up'  # its sender no longer waits for it
 
-# Refusals after which the upstream has seen the request, without running it.
-ARRIVED = frozenset((SHED, MOVED))
-# A refusal that is none: an earlier send may have been run.
-UNSURE = frozenset((RESTARTED, STALE, GIVEN_UP))
+# Refusals of requests that reached the upstream but did not run.
+SENT_TO_UPSTREAM = frozenset((SHED, MOVED))
+# Refusals that promise nothing, since an earlier send may have run.
+MAY_HAVE_RUN = frozenset((RESTARTED, STALE, GIVEN_UP))
 
-# Why a second question for a long answer brings none: it comes once.
-PASSED_ON = 'passed on before'
+# Detail of the failure of a further send for a long answer, which is streamed
+# once only.
+ALREADY_STREAMED = 'passed on before'
 
 INTERIM = b'HTTP/1.1 102 Processing\r\n\r\n'
-# Lets the body come that was not sent with its head.
+# Asks for a body that was not sent with its head.
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 class Hop(typing.NamedTuple):
     """A request on its way between two nodes.
 
-    :param id: its id.
-    :param host: the host that hands it over.
+    The fields travel by position.
+
+    :param id: id of the request.
+    :param host: the host that sends it.
     :param upstream: id of the upstream that is to run it.
     :param service: the service.
     :param caller_service: the service on the host where it began.
     :param route: key of its route.
-    :param left_ms: time until its answer is owed, ms.
-    :param goal_ms: time until which its answer is worth most, ms; negative
-        when that has passed.
-    :param priority: rank of its kind, 0 first.
+    :param remaining_ms: time until its deadline, ms.
+    :param goal_ms: time until its latency goal, ms; negative once that has
+        passed.
+    :param priority: its priority, 0 first.
     :param idempotent: whether it may run twice.
-    :param inner: whether another running request waits for it.
-    :param stays: whether it may wait here for a slot, whatever it is worth.
+    :param nested: whether another running request waits for it.
+    :param may_wait: whether it may wait here for a slot, whatever its value.
     :param repeat: whether it may have run elsewhere, or was sent to an
         upstream that refused it.
-    :param echo: whether it is a call of a run that was itself a repeat.
-    :param number: counts its sends; grows with each.
-    :param process: the process of the gateway, as the sender knows it; empty
-        when it does not.
-    :param again: whether an earlier send to this gateway may have arrived.
-    :param detour: address of the gateway that is to get it, when it is
-        handed to another node on the way; empty otherwise.
-    :param trip: tells apart requests that bear one id.
-    :param least: what it must be worth here to be taken, in thousandths, see
-        ``load.valuing``; what is not is worth more elsewhere.
-    :param second: what it is worth if it fails here, in thousandths.
-    :param calm: whether the sender sees its service served well.
-    :param usual_ms: service time of its route, as the sender knows it, ms; 0
-        where it does not.
-    :param sent_ms: when it was sent, in the gateway's time, see ``ages``; 0
-        where the sender does not know that.
-    :param patience_ms: for how long its sender waits for a sign, ms.
-    :param last: whether it may not be sent once more if it fails, although it
-        may be repeated.
-    :param paid: whether its sender counted it among the repeats that it may
-        send.
-    :param asks: whether its body comes only when the gateway has a slot for
-        it and says so.
-    :param digest: names what it asks for, see ``digests``.
+    :param caller_repeated: whether it is a nested call of a run that was
+        itself a repeat.
+    :param send_number: number of this send of the request; grows with each.
+    :param process: the gateway's process, as the sender knows it; empty if
+        unknown.
+    :param resumed: whether an earlier send to this gateway may have arrived.
+    :param detour: address of the gateway that is to get it, when it goes
+        through a third node; empty otherwise.
+    :param token: distinguishes requests that have the same id.
+    :param min_value: value that it must have here to be accepted, in
+        thousandths, see ``load.valuing``; if it is lower, the request is
+        worth more elsewhere.
+    :param retry_value: value that is left if it fails here, in thousandths.
+    :param service_healthy: whether the service serves the sender's requests
+        well.
+    :param typical_ms: service time of its route, as the sender knows it, ms;
+        0 if unknown.
+    :param sent_ms: when it was sent, in the gateway's time, see ``transit``;
+        0 if unknown.
+    :param sender_timeout_ms: for how long its sender waits for an interim
+        answer, ms.
+    :param final_attempt: whether it can't be retried if it fails, although
+        it may be idempotent.
+    :param budgeted: whether its sender charged it to its retry budget.
+    :param expects_continue: whether its body is sent only when the gateway
+        asks for it, which it does once the request has a slot.
+    :param digest: identifies its content, see ``digests``.
     """
 
     id: str
@@ -104,47 +111,47 @@
     service: str
     caller_service: str
     route: str
-    left_ms: int
+    remaining_ms: int
     goal_ms: int
     priority: int
     idempotent: bool
-    inner: bool
-    stays: bool
+    nested: bool
+    may_wait: bool
     repeat: bool
-    echo: bool
-    number: int
+    caller_repeated: bool
+    send_number: int
     process: str
-    again: bool = False
+    resumed: bool = False
     detour: str = ''
-    trip: str = ''
-    least: int = 0
-    second: int = 0
-    calm: bool = False
-    usual_ms: int = 0
+    token: str = ''
+    min_value: int = 0
+    retry_value: int = 0
+    service_healthy: bool = False
+    typical_ms: int = 0
     sent_ms: int = 0
-    patience_ms: int = 0
-    last: bool = False
-    paid: bool = False
-    asks: bool = False
+    sender_timeout_ms: int = 0
+    final_attempt: bool = False
+    budgeted: bool = False
+    expects_continue: bool = False
     digest: str = ''
 
     @property
     def key(self) -> str:
-        """Return what names this request and no other one."""
-        return '%s %s' % (self.id, self.trip)
+        """Return a key that is unique to this request."""
+        return '%s %s' % (self.id, self.token)
 
 
-_HOPS = msgspec.json.Decoder(Hop)
-_REPORTS = msgspec.json.Decoder(placing.Report)
+_HOP_DECODER = msgspec.json.Decoder(Hop)
+_REPORT_DECODER = msgspec.json.Decoder(placing.Report)
 
 
-def call(
+def to_call(
     hop: Hop, request: incoming.Request, body: bytes | None, deadline: float
 ) -> calls.Call:
-    """Return a request that was handed over, as it goes on from here.
+    """Return a received request in the form in which it is sent on.
 
-    :param body: None when it is not held here.
-    :param deadline: monotonic time by which its answer is owed.
+    :param body: its body; None if that is not buffered here.
+    :param deadline: monotonic time of its deadline.
     """
     return calls.Call(
         hop.id,
@@ -167,22 +174,22 @@
 
 
 def write(request: incoming.Request, data: bytes) -> None:
-    """Write to the node that handed a request over.
+    """Write to the node that sent a request.
 
-    :raises ConnectionResetError: when it has gone.
+    :raises ConnectionResetError: when the connection is closed.
     """
     request.connection.write(data)
 
 
-def line(hop: Hop) -> bytes:
+def header_line(hop: Hop) -> bytes:
     """Return the header line that carries a hop."""
     return b'%b: %b\r\n' % (HOP.encode(), msgspec.json.encode(hop))
 
 
-def read(value: str) -> Hop | None:
-    """Return the hop that :func:`line` wrote, None for anything else."""
+def parse(value: str) -> Hop | None:
+    """Parse the value that :func:`header_line` wrote; None if malformed."""
     try:
-        return _HOPS.decode(value)
+        return _HOP_DECODER.decode(value)
     except (msgspec.DecodeError, UnicodeError):
         return None
 
@@ -192,30 +199,32 @@
     return b'%b: %b\r\n' % (REPORT, msgspec.json.encode(report))
 
 
-def read_report(value: bytes) -> placing.Report | None:
-    """Return the report that :func:`report_line` wrote."""
+def parse_report(value: bytes) -> placing.Report | None:
+    """Parse the value that :func:`report_line` wrote; None if malformed."""
     try:
-        return _REPORTS.decode(value)
+        return _REPORT_DECODER.decode(value)
     except msgspec.DecodeError:
         return None
 
 
 def refusal(reason: str, detail: str, report: placing.Report) -> bytes:
-    """Return the bytes of a refusal."""
+    """Encode a refusal."""
     line = report_line(report)
-    return _own(b'503 Service Unavailable', REFUSAL, reason, detail, line)
+    return _gateway_answer(
+        b'503 Service Unavailable', REFUSAL, reason, detail, line
+    )
 
 
 def failure(code: str, detail: str, report: placing.Report) -> bytes:
-    """Return the bytes of a failure.
+    """Encode a failure.
 
-    :param code: label of the code that the caller is told.
+    :param code: label of the result code for the caller.
     """
     line = report_line(report)
-    return _own(b'502 Bad Gateway', FAILURE, code, detail, line)
+    return _gateway_answer(b'502 Bad Gateway', FAILURE, code, detail, line)
 
 
-def lines(raw: headers.Raw) -> bytes:
+def node_header_lines(raw: headers.Raw) -> bytes:
     """Return the header lines of a gateway's answer that are for nodes."""
     return b''.join(
         b'%b: %b\r\n' % pair
@@ -224,24 +233,24 @@
     )
 
 
-def passed_on(answer: answers.Answer) -> bytes:
-    """Return a refusal or a failure of another gateway as it came."""
+def forwarded(answer: answers.Answer) -> bytes:
+    """Encode a refusal or a failure of another gateway as it was received."""
     return b'HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b' % (
         answer.status,
         answer.reason.encode('ascii', 'replace'),
-        lines(answer.headers),
+        node_header_lines(answer.headers),
         len(answer.body),
         answer.body,
     )
 
 
-def says(answer: answers.Answer, name: bytes) -> str:
-    """Return what a gateway's answer says under a name, or nothing."""
+def header_value(answer: answers.Answer, name: bytes) -> str:
+    """Return the value of a header in a gateway's answer, or ''."""
     value = headers.value(answer.headers, name)
     return '' if value is None else value.decode('ascii', 'replace')
 
 
-def _own(
+def _gateway_answer(
     status: bytes, name: bytes, what: str, detail: str, report: bytes
 ) -> bytes:
     body = detail.encode('utf-8', 'replace')
--- a/carawaystair/gateway/instances.py
+++ b/carawaystair/gateway/instances.py
@@ -1,12 +1,13 @@
-"""What a gateway believes of each upstream of its host, one life at a time.
+"""Instances of the upstreams of this host.
 
-An upstream that starts again under its id knows nothing of before: its slots
-are free, its connections are gone, and what its former life did says nothing
-of it.
+An instance of an upstream lasts from one start of its process to the next.  A
+new instance has free slots and no connections, and the failures of the
+previous one say nothing about it.
 
-Symptom without this: work that may run once is sent on a connection of a life
-that is over; a run that ended with its life is waited for until its time is
-over; an upstream that has just started gets no work for what it did before.
+Were the instances not kept apart, non-idempotent requests would be sent on
+connections of an instance that has ended, runs that ended with their instance
+would be waited for until their deadlines, and a restarted upstream would get
+no work because of earlier failures.
 """
 
 import typing
@@ -26,87 +27,87 @@
 
 
 class Instance:
-    """One life of one upstream.
+    """One instance of one upstream.
 
     :param name: id of the upstream.
-    :param said: its newest announcement.
-    :param process: returns the name of this process.
+    :param announcement: its latest announcement.
+    :param process_id: returns the id of this process.
     """
 
-    __slots__ = ('name', 'said', 'slots', 'target')
+    __slots__ = ('name', 'announcement', 'slots', 'target')
 
     def __init__(
         self,
         name: str,
-        said: registries.Announcement,
-        process: typing.Callable[[], str],
+        announcement: registries.Announcement,
+        process_id: typing.Callable[[], str],
     ) -> None:
         self.name = name
-        self.said = said
-        self.slots = slots_module.Slots(process, said.slots)
+        self.announcement = announcement
+        self.slots = slots_module.Slots(process_id, announcement.slots)
         now = clock.now()
-        self.target = targets.Target(upstream(name, said), now)
-        self.slots.queue.cold_until = now + said.warmup_s
-
-    def hear(self, said: registries.Announcement) -> None:
-        """Take note of what the upstream says of itself now."""
-        self.said = said
-        self.slots.queue.slots = said.slots
-        self.target.upstream = upstream(self.name, said)
-        if said.state != interfaces.UP:
-            self.slots.refuse_all(hops.LEAVING)
+        self.target = targets.Target(as_upstream(name, announcement), now)
+        self.slots.queue.cold_until = now + announcement.warmup_s
+
+    def update(self, announcement: registries.Announcement) -> None:
+        """Apply a newer announcement of the same instance."""
+        self.announcement = announcement
+        self.slots.queue.slots = announcement.slots
+        self.target.upstream = as_upstream(self.name, announcement)
+        if announcement.state != interfaces.UP:
+            self.slots.refuse_waiting(hops.LEAVING)
             connections.close_idle(self.target)
 
-    def end(self) -> None:
-        """Let go: nothing of this life is for the next one.
+    def close(self) -> None:
+        """End this instance.
 
-        What runs goes on for now; what waits was not run and never will be
-        here.  With a target that is gone, connections in use are not kept
-        and those that are being made carry nothing.
+        Running requests continue; waiting ones are refused, as they have not
+        run.  Since the target is marked as gone, connections in use are not
+        kept, and connections that are still being made carry no request.
         """
-        self.slots.refuse_all(hops.LEAVING)
+        self.slots.refuse_waiting(hops.LEAVING)
         connections.close_idle(self.target)
         gone = self.target.upstream._replace(state=interfaces.GONE)
         self.target.upstream = gone
 
 
 class RunningAttempts:
-    """The attempts in progress, by upstream."""
+    """Tracks the attempts in progress at each upstream."""
 
     def __init__(self) -> None:
-        self.open: dict[str, set[attempts_module.Attempt]] = {}
+        self.by_upstream: dict[str, set[attempts_module.Attempt]] = {}
 
-    def begin(self, attempt: attempts_module.Attempt) -> None:
-        """Take note of an attempt."""
+    def add(self, attempt: attempts_module.Attempt) -> None:
+        """Add an attempt that begins."""
         name = attempt.target.upstream.id
-        self.open.setdefault(name, set()).add(attempt)
+        self.by_upstream.setdefault(name, set()).add(attempt)
 
-    def end(self, attempt: attempts_module.Attempt) -> None:
-        """Take note that an attempt has ended."""
+    def remove(self, attempt: attempts_module.Attempt) -> None:
+        """Remove an attempt that has ended."""
         name = attempt.target.upstream.id
-        found = self.open.get(name, set())
+        found = self.by_upstream.get(name, set())
         found.discard(attempt)
         if not found:
-            self.open.pop(name, None)
+            self.by_upstream.pop(name, None)
 
-    def cut(self, name: str, born_ms: int) -> int:
-        """Break what runs in a former life of an upstream.
+    def abort_older(self, name: str, started_ms: int) -> int:
+        """Abort the attempts of earlier instances of an upstream.
 
-        Nobody knows what became of it, and nothing more will come of it;
-        on a connection that has gone silent this would not show before its
-        time is over.  One on a connection that was opened after the start of
-        the new life runs in that one, whose first heartbeat came later.
+        Their outcome is unknown and no answer will come; on a connection that
+        has gone silent this would not show before the deadline.  An attempt
+        on a connection that was opened after the start of the new instance
+        runs in that one: the announcement comes later than the start.
 
-        :param born_ms: start of the new life, ms since 1970.  Where lives
-            are counted in another way nothing is cut, and what runs ends
-            with its connection or its time.
-        :return: how many were cut.
+        :param started_ms: start of the new instance, ms since 1970.  Where
+            incarnations are counted in another way nothing is aborted, and
+            attempts end with their connections or at their deadlines.
+        :return: number of aborted attempts.
         """
         found = [
             attempt
-            for attempt in self.open.get(name, ())
+            for attempt in self.by_upstream.get(name, ())
             if attempt.connection is not None
-            and _opened_ms(attempt.connection) < born_ms
+            and _opened_at_ms(attempt.connection) < started_ms
         ]
         for attempt in found:
             attempt.connection.proto.fail(
@@ -115,22 +116,24 @@
         return len(found)
 
 
-def _opened_ms(connection: connections.Connection) -> float:
-    """Return when a connection was opened, by the wall clock."""
+def _opened_at_ms(connection: connections.Connection) -> float:
+    """Return the wall-clock time at which a connection was opened."""
     return clock.wall_ms() - (clock.now() - connection.opened) * MS
 
 
-def upstream(name: str, said: registries.Announcement) -> interfaces.Upstream:
-    """Return an upstream of this host as the request path knows it."""
+def as_upstream(
+    name: str, announcement: registries.Announcement
+) -> interfaces.Upstream:
+    """Convert an announcement of this host to the request path's type."""
     return interfaces.Upstream(
         name,
-        said.service,
-        said.address,
+        announcement.service,
+        announcement.address,
         '',
         '',
-        said.slots,
-        said.weight,
-        said.warmup_s,
-        said.state,
-        said.incarnation,
+        announcement.slots,
+        announcement.weight,
+        announcement.warmup_s,
+        announcement.state,
+        announcement.incarnation,
     )
--- a/carawaystair/gateway/nested_calls.py
+++ b/carawaystair/gateway/nested_calls.py
@@ -1,9 +1,9 @@
-"""Calls that the upstreams of this host make while they run a request.
+"""Calls that upstreams of this host make while they run a request.
 
-A running request holds its slot while it waits for its calls, so they go
-before others; and an upstream that fails because a service that it called has
-failed is not gray.  A call is told by its id, which extends that of the
-running request by a dot and a part of its own.
+A running request holds its slot while it waits for its nested calls, so they
+take precedence over other requests.  An upstream whose request fails because
+a service that it called has failed is not itself faulty.  The id of a nested
+call is that of the running request, a dot and a part of its own.
 """
 
 import collections
@@ -11,39 +11,39 @@
 from carawaystair import clock
 from carawaystair.load import nesting
 
-# An upstream answers its own caller so soon after a call of it failed,
-# seconds: it has nothing left to do.
-BLAME_S = 0.5
-MOST = 1024
+# A failure of a request within this time of a failed nested call is put down
+# to that call: the upstream has nothing left to do, seconds.
+FAILURE_LINK_S = 0.5
+MAX_FAILURES = 1024
 
 
 class NestedCalls:
-    """What this host knows of the calls of its upstreams.
+    """Tracks the running requests of this host and their nested calls.
 
-    :param payer: pays for the calls of repeated runs.
+    :param payer: budgets the nested calls of repeated runs.
     """
 
     def __init__(self, payer: nesting.Payer) -> None:
         self.payer = payer
-        # How many runs of a request are at the upstreams of this host, and
-        # the rank of each.
+        # Number of runs of each request at the upstreams of this host, with
+        # its priority and its service.
         self.running: collections.Counter = collections.Counter()
         self.ranks: dict[str, int] = {}
         self.services: dict[str, str] = {}
-        # Those that were sent to another upstream before.
+        # Running requests that were sent to another upstream before.
         self.repeated: set[str] = set()
-        # When a call of a request failed last.
+        # When a nested call of a request last failed.
         self.failed_at: dict[str, float] = {}
 
-    def began(
+    def run_started(
         self, request: str, service: str, rank: int, repeat: bool
     ) -> None:
-        """Take note that a request runs here.
+        """Record the start of a run on this host.
 
-        :param service: the service that runs it.
-        :param rank: the rank of its kind, 0 first.
-        :param repeat: whether it was sent to an upstream before, so that its
-            calls are made once more, too.
+        :param service: the service that runs the request.
+        :param rank: its priority, 0 first.
+        :param repeat: whether the request was sent to an upstream before, so
+            that its nested calls are repeats as well.
         """
         self.running[request] += 1
         self.ranks[request] = rank
@@ -52,8 +52,8 @@
         if repeat:
             self.repeated.add(request)
 
-    def ended(self, request: str) -> None:
-        """Take note that a run has ended."""
+    def run_ended(self, request: str) -> None:
+        """Record the end of a run."""
         self.running[request] -= 1
         if not self.running[request]:
             del self.running[request]
@@ -62,13 +62,13 @@
             self.payer.ended(request)
             self.repeated.discard(request)
 
-    def parent(self, request: str) -> str:
-        """Return the running request that waits for this one, or nothing."""
+    def running_parent(self, request: str) -> str:
+        """Return the running request that makes a call, or ''."""
         name = request.rpartition('.')[0]
         return name if name in self.running else ''
 
-    def called(self, parent: str, service: str) -> bool:
-        """Take note of a call; tell whether its arrival was paid for.
+    def count_call(self, parent: str, service: str) -> bool:
+        """Count a nested call; return whether the budget covers it already.
 
         :param parent: the running request that makes it.
         :param service: the service that is called.
@@ -77,24 +77,23 @@
         return self.payer.use(parent, service)
 
     def rank(self, call: str, own: int) -> int:
-        """Return the rank of a request: that of the one that waits for it, if
-        it is less urgent.
+        """Return a request's priority, or its parent's if less urgent.
 
-        :param own: the rank of its own kind.
+        :param own: the priority of the request itself.
         """
-        return max(own, self.ranks.get(self.parent(call), own))
+        return max(own, self.ranks.get(self.running_parent(call), own))
 
-    def failed(self, call: str) -> None:
-        """Take note that a call failed just now."""
-        parent = self.parent(call)
+    def call_failed(self, call: str) -> None:
+        """Record that a nested call has just failed."""
+        parent = self.running_parent(call)
         if not parent:
             return
         self.failed_at.pop(parent, None)
         self.failed_at[parent] = clock.now()
-        while len(self.failed_at) > MOST:
+        while len(self.failed_at) > MAX_FAILURES:
             del self.failed_at[next(iter(self.failed_at))]
 
-    def to_blame(self, request: str) -> bool:
-        """Tell whether a failure of a request may come from its call."""
+    def may_explain_failure(self, request: str) -> bool:
+        """Return whether a nested call may have caused a failure."""
         when = self.failed_at.pop(request, None)
-        return when is not None and clock.now() - when <= BLAME_S
+        return when is not None and clock.now() - when <= FAILURE_LINK_S
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -1,4 +1,4 @@
-"""Lets long bodies go as fast as the link of this host carries them."""
+"""Paces long bodies to the bandwidth of this host's link."""
 
 import asyncio
 import typing
@@ -9,68 +9,68 @@
 
 
 class Throttle(typing.Protocol):
-    """The way of one body to another node."""
+    """Limits the rate at which one body is sent to another node."""
 
-    # What the link was asked for before this body; None where it did not
-    # wait.
+    # How far ahead the link was booked before this body, seconds; None if
+    # the body was not throttled.
     ahead_s: float | None
 
-    async def begin(self, size: int) -> None:
-        """Wait until the first bytes may go.
+    async def wait_first(self, size: int) -> None:
+        """Wait until the first bytes may be sent.
 
-        :param size: bytes at least.
+        :param size: minimum size of the body, bytes.
         """
 
-    def pieces(self, data: bytes) -> typing.AsyncIterator[bytes]:
-        """Yield the pieces of some bytes, each when it may go."""
+    def chunks(self, data: bytes) -> typing.AsyncIterator[bytes]:
+        """Yield data in chunks, each as soon as it may be sent."""
 
-    def end(self) -> None:
-        """Let go of what was not used."""
+    def close(self) -> None:
+        """Return unused bandwidth."""
 
 
 class Unthrottled:
-    """A way that nothing binds."""
+    """Sends at once, without a limit."""
 
     ahead_s: float | None = None
 
-    async def begin(self, size: int) -> None:
+    async def wait_first(self, size: int) -> None:
         """Return at once."""
 
-    async def pieces(self, data: bytes) -> typing.AsyncIterator[bytes]:
+    async def chunks(self, data: bytes) -> typing.AsyncIterator[bytes]:
         """Yield all bytes."""
         yield data
 
-    def end(self) -> None:
-        """Hold nothing."""
+    def close(self) -> None:
+        """Do nothing."""
 
 
 UNTHROTTLED = Unthrottled()
 
 
 class LinkThrottle:
-    """A way over the link.
+    """Sends when the link of this host has room.
 
-    :param pacer: shares the link.
+    :param pacer: paces sending over the link.
     """
 
     def __init__(self, pacer: 'Pacer') -> None:
         self.pacer = pacer
-        # That of the body, once it has begun.
+        # Place of the body among those that share the link.
         self.place: pacing.Place | None = None
-        # Bytes that may go now.
-        self.room = 0
+        # Bytes that may be sent now.
+        self.granted_bytes = 0
         self.ahead_s: float | None = None
 
-    async def begin(self, size: int) -> None:
-        """Wait until the first bytes may go."""
+    async def wait_first(self, size: int) -> None:
+        """Wait until the first bytes may be sent."""
         if size > pacing.SHORT_BYTES:
             now = clock.now()
             self.ahead_s = self.pacer.link.ahead_s(now)
             self.place = self.pacer.link.place(size, now)
-            self.room = await self.pacer.turn(self.place, size)
+            self.granted_bytes = await self.pacer.wait_turn(self.place, size)
 
-    async def pieces(self, data: bytes) -> typing.AsyncIterator[bytes]:
-        """Yield the pieces of some bytes, each when it may go."""
+    async def chunks(self, data: bytes) -> typing.AsyncIterator[bytes]:
+        """Yield data in chunks, each as soon as it may be sent."""
         place, self.place = self.place, None
         if place is None and len(data) <= pacing.SHORT_BYTES:
             yield data
@@ -79,24 +79,26 @@
             place = self.pacer.link.place(len(data), clock.now())
         start = 0
         while start < len(data):
-            if not self.room:
-                self.room = await self.pacer.turn(place, len(data) - start)
-            piece = data[start : start + self.room]
-            start += len(piece)
-            self.room -= len(piece)
-            yield piece
+            if not self.granted_bytes:
+                self.granted_bytes = await self.pacer.wait_turn(
+                    place, len(data) - start
+                )
+            chunk = data[start : start + self.granted_bytes]
+            start += len(chunk)
+            self.granted_bytes -= len(chunk)
+            yield chunk
 
-    def end(self) -> None:
-        """Give back what was not used."""
-        self.pacer.link.give_back(self.room)
-        self.room = 0
+    def close(self) -> None:
+        """Return unused bandwidth."""
+        self.pacer.link.give_back(self.granted_bytes)
+        self.granted_bytes = 0
 
 
 class Pacer:
-    """Shares the link of this host; one for each process.
+    """Shares the link of this host among bodies; one for each process.
 
     :param host: this host.
-    :param mbps: what its link carries, Mbit/s; 0 where nothing is known.
+    :param mbps: bandwidth of its link, Mbit/s; 0 if unknown.
     """
 
     def __init__(self, host: str, mbps: float) -> None:
@@ -105,23 +107,23 @@
         self.futures: dict[int, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
 
-    def way(self, host: str) -> Throttle:
-        """Return the way of one body to a host."""
+    def throttle(self, host: str) -> Throttle:
+        """Return the throttle for one body that is sent to a host."""
         if self.link is None or host == self.host:
-            # What stays on this host does not cross its link.
+            # Traffic within this host does not use its link.
             return UNTHROTTLED
         return LinkThrottle(self)
 
-    async def turn(self, place: pacing.Place, size: int) -> int:
-        """Wait for a turn; return how many bytes may go.
+    async def wait_turn(self, place: pacing.Place, size: int) -> int:
+        """Wait for a turn; return how many bytes may be sent.
 
-        :param place: that of the body.
-        :param size: bytes that it has to send.
+        :param place: place of the body among those that share the link.
+        :param size: bytes that are left to send.
         """
         turn = self.link.ask(place, size)
         future = asyncio.get_running_loop().create_future()
         self.futures[turn.place.number] = future
-        self._grant()
+        self._grant_turns()
         try:
             return await future
         except asyncio.CancelledError:
@@ -129,18 +131,18 @@
                 turn.left = True
             else:
                 self.link.give_back(future.result())
-                self._grant()
+                self._grant_turns()
             raise
         finally:
             self.futures.pop(turn.place.number, None)
 
-    def _grant(self) -> None:
-        """Give turns as far as there is room; be back when there is more."""
+    def _grant_turns(self) -> None:
+        """Grant turns while the link has room, and schedule the next check."""
         now = clock.now()
         while (turn := self.link.first(now)) is not None:
             future = self.futures[turn.place.number]
-            # One that was cancelled in this turn of the loop has not said
-            # yet that it leaves.
+            # A waiter that was cancelled in this iteration of the event loop
+            # has not marked its turn as left yet.
             if not future.done():
                 future.set_result(self.link.take(turn.size, now))
         if self.timer is not None:
@@ -148,30 +150,34 @@
             self.timer = None
         if self.link.waiting:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(self.link.wait_s(now), self._grant)
+            self.timer = loop.call_later(
+                self.link.wait_s(now), self._grant_turns
+            )
 
 
 class Pump(bodies.Pump):
-    """Passes a body on to another node.
+    """Forwards a body to another node at the rate of the link.
 
     :param source: the body.
     :param proto: the connection to that node.
-    :param way: the way there.
+    :param throttle: limits the rate.
     """
 
-    def __init__(self, source: bodies.Source, proto, way: Throttle) -> None:
+    def __init__(
+        self, source: bodies.Source, proto, throttle: Throttle
+    ) -> None:
         super().__init__(source, proto)
-        self.way = way
+        self.throttle = throttle
 
     async def run(self) -> None:
-        """Pass the body on."""
+        """Forward the body."""
         try:
             await super().run()
         finally:
-            self.way.end()
+            self.throttle.close()
 
     async def send(self, data: bytes) -> None:
-        """Pass some bytes on, in pieces."""
-        async for piece in self.way.pieces(data):
-            await self.writer.write(piece)
+        """Forward some bytes, in chunks."""
+        async for chunk in self.throttle.chunks(data):
+            await self.writer.write(chunk)
             await self.writer.drain()
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -1,82 +1,81 @@
-"""The ways from this node to the gateways of others.
+"""Network paths from this node to the gateways of other hosts.
 
-Symptom without it: packets between two hosts are lost for some seconds while
-all others reach both.  Every request that is offered on that way waits until
-it is given up, and one that may not be repeated is lost although it never
-arrived.  A way that failed is therefore tried with connections that carry
-nothing, until one is made, and what must reach that very gateway goes through
-a third node meanwhile.
+Packets between two hosts may be lost for some seconds while all other hosts
+reach both.  Requests sent on such a path would wait until their senders give
+up, and non-idempotent ones would be lost although they never arrived.  A path
+that failed is therefore probed with empty connections until one succeeds, and
+what must reach that very gateway takes a detour through a third node.
 """
 
 import asyncio
 import random
 import typing
 
-from carawaystair.gateway import upstream_pool as knowns
+from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
 from carawaystair.request import connections
 from carawaystair.request import target as targets
 
-# Pause between two trials of a way, seconds.
-RETRY_S = 0.5
-# Trials of one way; then it is used again, and doubted again if it fails.
-MOST_TRIALS = 60
+# Pause between two probes of a path, seconds.
+PROBE_INTERVAL_S = 0.5
+# Probes of one path; it is then used again, and probed again if it fails.
+MAX_PROBES = 60
 
 
 class PathMonitor:
-    """The ways of one node.
+    """Tracks the reachability of gateways from one node.
 
-    :param known: the upstreams.
+    :param pool: the upstreams.
     :param host: the host of this node.
-    :param spawn: runs a coroutine for as long as the node lives.
+    :param spawn: runs a coroutine for the lifetime of the node.
     :param rng: the source of randomness.
     """
 
     def __init__(
         self,
-        known: knowns.UpstreamPool,
+        pool: upstream_pool.UpstreamPool,
         host: str,
         spawn: typing.Callable[..., typing.Any],
         rng: random.Random,
     ) -> None:
-        self.known = known
+        self.pool = pool
         self.host = host
         self.spawn = spawn
         self.rng = rng
-        self.trials: set[str] = set()
+        self.probing: set[str] = set()
 
-    def lost(self, target: targets.Target) -> None:
-        """Take note that a gateway does not answer on the direct way."""
+    def mark_unreachable(self, target: targets.Target) -> None:
+        """Mark a gateway as not directly reachable and probe its path."""
         name = target.upstream.id
-        self.known.board.view(name).reachable = False
+        self.pool.board.view(name).reachable = False
         connections.close_idle(target)
-        if name not in self.trials:
-            self.trials.add(name)
-            self.spawn(self._try(target))
+        if name not in self.probing:
+            self.probing.add(name)
+            self.spawn(self._probe(target))
 
-    async def _try(self, target: targets.Target) -> None:
-        """Try a way until a connection is made."""
+    async def _probe(self, target: targets.Target) -> None:
+        """Probe a path until a connection succeeds."""
         name = target.upstream.id
         try:
-            for _trial in range(MOST_TRIALS):
-                await asyncio.sleep(RETRY_S)
+            for _probe_number in range(MAX_PROBES):
+                await asyncio.sleep(PROBE_INTERVAL_S)
                 if target.upstream.state == interfaces.GONE:
                     return
-                if await _reaches(target):
+                if await _can_connect(target):
                     return
         finally:
-            self.trials.discard(name)
-            self.known.board.view(name).reachable = True
+            self.probing.discard(name)
+            self.pool.board.view(name).reachable = True
 
-    def helper(self, target: targets.Target) -> targets.Target | None:
-        """Return the gateway of a third host to go through.
+    def intermediary(self, target: targets.Target) -> targets.Target | None:
+        """Return a gateway of a third host for a detour.
 
-        The one that answered here last is the most likely to be reached.
+        Prefers the gateways from which an answer came most recently.
         """
-        board = self.known.board
+        board = self.pool.board
         others = [
             other
-            for other in self.known.targets.values()
+            for other in self.pool.targets.values()
             if other.upstream.host not in (target.upstream.host, self.host)
             and other.upstream.state != interfaces.GONE
             and board.view(other.upstream.id).reachable
@@ -89,8 +88,8 @@
         return self.rng.choice(others[:4])
 
 
-async def _reaches(target: targets.Target) -> bool:
-    """Tell whether a connection can be made."""
+async def _can_connect(target: targets.Target) -> bool:
+    """Return whether a connection can be made."""
     loop = asyncio.get_running_loop()
     try:
         until = loop.time() + connections.CONNECT_S
