--- a/carawaystair/gateway/resuming.py
+++ b/carawaystair/gateway/resuming.py
@@ -1,12 +1,12 @@
-"""Asks a gateway again for a request that it may have.
+"""Resumes a request at a gateway that may have received it.
 
-A gateway that shows no sign of life in time may have a full link, stand still
-or be cut off: its silence tells nothing of the request.  So what was sent
-stays open while the gateway is asked again, directly and through a third node.
-It knows requests by their keys and runs each once, however often it is asked.
+A gateway that shows no sign of life in time may have a full link, be suspended
+or be cut off: its silence says nothing about the request.  The first attempt
+therefore stays open while further ones are sent, directly and through a third
+node.  The gateway identifies requests by their keys and runs each only once.
 
-An answer counts whichever question brings it.  A refusal counts only if it is
-that of the newest question: after an older one was refused, a newer one may
+An answer counts whichever attempt brings it.  A refusal counts only if it is
+that of the latest attempt: after an earlier one was refused, a later one may
 run.
 """
 
@@ -23,28 +23,27 @@
 from carawaystair.request import answer as answers
 from carawaystair.request import target as targets
 
-# Pause before the next question when the last connection was lost, seconds.
-PAUSE_S = 0.1
-# Questions that are open at once, and how often it is looked whether there is
-# hope for them, seconds.
-MOST_OPEN = 3
-CHECK_S = 0.3
-# Each further question waits so many times as long for its first sign, up to
-# a limit in seconds: where a link is full, questions must not fill it further.
-SIGN_GROWTH = 2.0
-MOST_SIGN_S = 0.9
-# A host that the fleet takes for dead may only be late: what is open then has
-# this time to bring an answer, seconds.
-GONE_S = 1.0
+# Pause before the next attempt when the last connection was lost, seconds.
+RECONNECT_PAUSE_S = 0.1
+MAX_OPEN_ATTEMPTS = 3
+# Interval of checks whether resuming still makes sense, seconds.
+CHECK_INTERVAL_S = 0.3
+# Growth of the time in which each further attempt must show a sign of life, up
+# to a maximum: where a link is full, attempts must not load it further.
+SIGN_TIMEOUT_GROWTH = 2.0
+MAX_SIGN_TIMEOUT_S = 0.9
+# A host that the membership takes for dead may only be slow: open attempts
+# have this time left to bring an answer, seconds.
+GONE_TIMEOUT_S = 1.0
 MS = 1000
 # Failures after which the same gateway may still have the request.
-LOST = frozenset((interfaces.BROKEN, interfaces.SILENT))
+LOST_OUTCOMES = frozenset((interfaces.BROKEN, interfaces.SILENT))
 
 
 class Unresponsive(Exception):
     """A gateway has shown no sign of life in time.
 
-    :param attempt: what was sent; it stays open.
+    :param attempt: the attempt, which stays open.
     """
 
     def __init__(self, attempt: send_attempts.GatewayAttempt) -> None:
@@ -53,79 +52,81 @@
 
 
 class ProgressObserver(typing.Protocol):
-    """Is told of a gateway's signs of life."""
+    """Is notified of a gateway's signs of life."""
 
-    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note that none came in time."""
+    def on_silence(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Handle the lack of a sign of life in time."""
 
-    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note of one."""
+    def on_sign_of_life(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Handle a sign of life."""
 
 
 class AttemptSender(typing.Protocol):
-    """Sends questions to gateways."""
+    """Sends attempts to gateways."""
 
-    def again(
+    def resume_attempt(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         lost: dispatches.LostConnection,
         detour: bool,
     ) -> send_attempts.GatewayAttempt:
-        """Return a further question, not sent yet."""
+        """Return a further attempt, not sent yet."""
 
     def answer(
         self,
-        trip: dispatches.Dispatch,
+        dispatch: dispatches.Dispatch,
         target: targets.Target,
         attempt: send_attempts.GatewayAttempt,
-        signs: ProgressObserver,
+        observer: ProgressObserver,
     ) -> typing.Coroutine[typing.Any, typing.Any, answers.Answer]:
-        """Send a question unless it was sent, and return its answer."""
+        """Send an attempt if it is not sent yet, and return its answer."""
 
-    def cut(self, target: targets.Target) -> None:
-        """Take note that a gateway was reached by a third node only."""
+    def on_path_failed(self, target: targets.Target) -> None:
+        """Handle a gateway that only a third node has reached."""
 
 
 class Resumption:
-    """One request that is asked for again at one gateway.
+    """Resumes one request at one gateway.
 
-    :param asks: sends the questions.
-    :param trip: the request.
-    :param lost: where it is.
-    :param limit_s: for how long it is asked for once no question is open.
-    :param recorder: takes note of decisions.
+    :param sender: sends the attempts.
+    :param dispatch: the request.
+    :param lost: the upstream and process that may run it.
+    :param timeout_s: how long attempts are repeated while none is open.
+    :param recorder: records events.
     """
 
     def __init__(
         self,
-        asks: AttemptSender,
-        trip: dispatches.Dispatch,
+        sender: AttemptSender,
+        dispatch: dispatches.Dispatch,
         lost: dispatches.LostConnection,
-        limit_s: float,
+        timeout_s: float,
         recorder: decisions.Recorder,
     ) -> None:
-        self.asks = asks
-        self.trip = trip
+        self.sender = sender
+        self.dispatch = dispatch
         self.lost = lost
-        self.limit_s = limit_s
+        self.timeout_s = timeout_s
         self.recorder = recorder
         self.began = clock.now()
-        self.open: dict[asyncio.Task, send_attempts.GatewayAttempt] = {}
-        self.doubtful: set[send_attempts.GatewayAttempt] = set()
-        # The highest number of a question that was sent and has ended.
-        self.newest = 0
-        self.detour = True
-        # Whether no sign of life was seen yet.
+        self.open_attempts: dict[
+            asyncio.Task, send_attempts.GatewayAttempt
+        ] = {}
+        self.unresponsive: set[send_attempts.GatewayAttempt] = set()
+        # The highest number among the sends that have ended.
+        self.highest_number = 0
+        self.next_via_detour = True
+        # Whether there was no sign of life so far.
         self.silent = True
-        # Whether the last question could not be sent.
+        # Whether the last attempt could not be sent.
         self.unsent = False
-        # Since when the upstream is gone, as far as is known.
+        # When the upstream was found to be gone.
         self.gone_at: float | None = None
-        self.sign_s = send_attempts.SIGN_S
-        self.news = asyncio.Event()
-        # What the request has failed with, while a newer question is open.
-        self.verdict: answers.Failed | None = None
-        self.last = answers.Failed(
+        self.first_sign_timeout_s = send_attempts.FIRST_SIGN_TIMEOUT_S
+        self.progress = asyncio.Event()
+        # Failure of an earlier attempt while a later one is open.
+        self.failure: answers.Failed | None = None
+        self.last_failure = answers.Failed(
             interfaces.SILENT, codes.ANSWER_LOST, True, 'no sign of life'
         )
 
@@ -136,192 +137,209 @@
     ) -> answers.Answer:
         """Return the answer to the request.
 
-        :param attempt: the first question where that is open still.
-        :param failed: how it failed where it is not.
-        :raises trips.Declined: when it was not run there and will not be.
+        :param attempt: the first attempt if that is still open.
+        :param failed: its failure if not.
+        :raises dispatches.Declined: when it was not run there and will not
+            be.
         :raises answers.Failed: when there is no answer.
         """
-        self.last = failed or self.last
+        self.last_failure = failed or self.last_failure
         if attempt is not None:
-            self._watch(attempt)
-            self.doubtful.add(attempt)
+            self._track(attempt)
+            self.unresponsive.add(attempt)
         timer = None
-        if self.trip.hurry is not None:
+        if self.dispatch.hedge_early is not None:
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(self.limit_s, self._hurry)
+            timer = loop.call_later(self.timeout_s, self._request_hedge)
         try:
-            return await self._ask_until_answered()
+            return await self._resume_until_answered()
         except asyncio.CancelledError:
-            # The caller has left, or another upstream was faster.
-            for task in self.open:
+            # The caller has left, or another upstream answered first.
+            for task in self.open_attempts:
                 task.cancel()
-            self.open.clear()
+            self.open_attempts.clear()
             raise
         finally:
             if timer is not None:
                 timer.cancel()
-            self._drop_all_but(None)
+            self._cancel_all_but(None)
 
-    async def _ask_until_answered(self) -> answers.Answer:
+    async def _resume_until_answered(self) -> answers.Answer:
         while True:
-            self.news.clear()
-            for task in [task for task in self.open if task.done()]:
-                answer = self._outcome(task, self.open.pop(task))
+            self.progress.clear()
+            for task in [task for task in self.open_attempts if task.done()]:
+                answer = self._outcome(task, self.open_attempts.pop(task))
                 if answer is not None:
                     return answer
-            if self.verdict is not None and not self.open:
-                raise self.verdict
-            self._check_hope()
-            if self._wants_another():
-                await self._ask()
+            if self.failure is not None and not self.open_attempts:
+                raise self.failure
+            self._check_limits()
+            if self._needs_attempt():
+                await self._start_attempt()
             else:
-                await self._news_or_pause()
+                await self._wait_for_progress()
 
-    def _wants_another(self) -> bool:
-        """Tell whether the gateway is to be asked once more now."""
-        if self.verdict is not None or self.gone_at is not None:
+    def _needs_attempt(self) -> bool:
+        """Return whether another attempt is to be sent now."""
+        if self.failure is not None or self.gone_at is not None:
             return False
-        return self._all_doubtful() and len(self.open) < MOST_OPEN
+        return (
+            self._all_unresponsive()
+            and len(self.open_attempts) < MAX_OPEN_ATTEMPTS
+        )
 
-    def _all_doubtful(self) -> bool:
-        return self.doubtful.issuperset(self.open.values())
+    def _all_unresponsive(self) -> bool:
+        return self.unresponsive.issuperset(self.open_attempts.values())
 
-    async def _news_or_pause(self) -> None:
+    async def _wait_for_progress(self) -> None:
         try:
-            async with asyncio.timeout(CHECK_S):
-                await self.news.wait()
+            async with asyncio.timeout(CHECK_INTERVAL_S):
+                await self.progress.wait()
         except TimeoutError:
-            # A host that has died since acknowledges nothing and breaks
-            # nothing: what the fleet knows of it is looked at again.
+            # Connections to a host that has died do not break by themselves,
+            # so the caller checks again whether the upstream is gone.
             pass
 
-    def _check_hope(self) -> None:
-        """Raise what the request comes to when it is asked for no more."""
-        now, call = clock.now(), self.trip.call
+    def _check_limits(self) -> None:
+        """Raise the failure if the request is not to be resumed any more."""
+        now, call = clock.now(), self.dispatch.call
         if now >= call.deadline:
             raise answers.Failed(
-                interfaces.TIMEOUT, codes.ANSWER_LATE, True, self.last.detail
+                interfaces.TIMEOUT,
+                codes.ANSWER_LATE,
+                True,
+                self.last_failure.detail,
             )
         if self.lost.target.upstream.state == interfaces.GONE:
-            # Its host is dead, or the upstream has left since.
+            # Its host is dead, or the upstream has left.
             if self.gone_at is None:
                 self.gone_at = now
-            if not self.open or now - self.gone_at >= GONE_S:
-                raise self.last
-        if not self.open and now - self.began >= self.limit_s:
-            raise self.last
-
-    async def _ask(self) -> None:
-        """Ask once more, by the other way."""
-        if not self.open or self.unsent:
+            if not self.open_attempts or now - self.gone_at >= GONE_TIMEOUT_S:
+                raise self.last_failure
+        if not self.open_attempts and now - self.began >= self.timeout_s:
+            raise self.last_failure
+
+    async def _start_attempt(self) -> None:
+        """Send another attempt, alternating between direct path and detour."""
+        if not self.open_attempts or self.unsent:
             self.unsent = False
-            await asyncio.sleep(PAUSE_S)
-        attempt = self.asks.again(self.trip, self.lost, self.detour)
+            await asyncio.sleep(RECONNECT_PAUSE_S)
+        attempt = self.sender.resume_attempt(
+            self.dispatch, self.lost, self.next_via_detour
+        )
         self.recorder.tell(
             decisions.AskedAgain(
-                self.trip.call.id,
+                self.dispatch.call.id,
                 self.lost.target.upstream.id,
-                attempt.hop.number,
-                attempt.helper,
+                attempt.hop.send_number,
+                attempt.via_detour,
                 int((clock.now() - self.began) * MS),
-                self.last.code.label,
+                self.last_failure.code.label,
             ),
             decisions.TROUBLE,
         )
-        self.detour = not self.detour
-        self.sign_s = min(self.sign_s * SIGN_GROWTH, MOST_SIGN_S)
-        attempt.sign_s = self.sign_s
-        self._watch(attempt)
+        self.next_via_detour = not self.next_via_detour
+        self.first_sign_timeout_s = min(
+            self.first_sign_timeout_s * SIGN_TIMEOUT_GROWTH, MAX_SIGN_TIMEOUT_S
+        )
+        attempt.first_sign_timeout_s = self.first_sign_timeout_s
+        self._track(attempt)
 
-    def _watch(self, attempt: send_attempts.GatewayAttempt) -> None:
+    def _track(self, attempt: send_attempts.GatewayAttempt) -> None:
         target = self.lost.target
         task = asyncio.ensure_future(
-            self.asks.answer(self.trip, target, attempt, self)
+            self.sender.answer(self.dispatch, target, attempt, self)
         )
-        task.add_done_callback(lambda _task: self.news.set())
-        self.open[task] = attempt
+        task.add_done_callback(lambda _task: self.progress.set())
+        self.open_attempts[task] = attempt
 
     def _outcome(
         self, task: asyncio.Task, attempt: send_attempts.GatewayAttempt
     ) -> answers.Answer | None:
-        """Return the answer to a question; None where it decides nothing."""
-        self.doubtful.discard(attempt)
+        """Return the answer of an attempt; None if it is not decisive."""
+        self.unresponsive.discard(attempt)
         decides = self._is_newest(attempt)
-        self._count(attempt)
+        self._note_number(attempt)
         try:
             return task.result()
         except dispatches.Declined as declined:
-            # A third node that can't reach the gateway says so, too.
-            cut = attempt.helper and declined.reason == hops.UNREACHABLE
-            if decides and not cut:
+            # A third node also refuses if it can't reach the gateway.
+            path_failed = (
+                attempt.via_detour and declined.reason == hops.UNREACHABLE
+            )
+            if decides and not path_failed:
                 raise
         except answers.Failed as failed:
             if not failed.sent:
                 self.unsent = True
                 return None
-            self.last = failed
-            if failed.outcome in LOST:
+            self.last_failure = failed
+            if failed.outcome in LOST_OUTCOMES:
                 return None
-            if decides and failed.detail != hops.PASSED_ON:
+            if decides and failed.detail != hops.ALREADY_STREAMED:
                 raise
-            self.verdict = failed
+            self.failure = failed
         return None
 
-    def _count(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Remember the number of a question that may have arrived."""
+    def _note_number(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Record the number of an attempt that may have arrived."""
         if attempt.sent:
-            self.newest = max(self.newest, attempt.hop.number)
+            self.highest_number = max(
+                self.highest_number, attempt.hop.send_number
+            )
 
     def _is_newest(self, attempt: send_attempts.GatewayAttempt) -> bool:
-        """Tell whether no newer question may have arrived."""
-        sent = [other for other in self.open.values() if other.sent]
-        numbers = [other.hop.number for other in sent]
-        return attempt.hop.number >= max([self.newest, *numbers])
+        """Return whether no later attempt may have arrived."""
+        sent = [other for other in self.open_attempts.values() if other.sent]
+        numbers = [other.hop.send_number for other in sent]
+        return attempt.hop.send_number >= max([self.highest_number, *numbers])
 
-    def _hurry(self) -> None:
-        """Let another upstream have the request as well, if one may."""
-        hurry = self.trip.hurry
-        if self.silent and hurry is not None and not hurry.done():
-            hurry.set_result(None)
+    def _request_hedge(self) -> None:
+        """Request an early hedge if there was no sign of life."""
+        hedge_early = self.dispatch.hedge_early
+        if self.silent and hedge_early is not None and not hedge_early.done():
+            hedge_early.set_result(None)
 
-    # The signs of a gateway
+    # Signs of life
 
-    def doubted(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note that a question brought no sign of life in time."""
-        self.doubtful.add(attempt)
-        self.news.set()
+    def on_silence(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Handle an attempt without a sign of life in time."""
+        self.unresponsive.add(attempt)
+        self.progress.set()
 
-    def seen(self, attempt: send_attempts.GatewayAttempt) -> None:
-        """Take note of a sign of life.
+    def on_sign_of_life(self, attempt: send_attempts.GatewayAttempt) -> None:
+        """Handle a sign of life: cancel all other attempts.
 
-        The gateway has the request.  Other questions would only bring its
+        The gateway has the request.  Other attempts would only bring its
         answer again, over a link that may be full.
         """
         self.silent = False
-        if attempt.helper and self.doubtful:
-            self.asks.cut(self.lost.target)
-        self.doubtful.discard(attempt)
-        self._drop_all_but(attempt)
+        if attempt.via_detour and self.unresponsive:
+            self.sender.on_path_failed(self.lost.target)
+        self.unresponsive.discard(attempt)
+        self._cancel_all_but(attempt)
 
-    def _drop_all_but(self, kept: send_attempts.GatewayAttempt | None) -> None:
-        for task, attempt in list(self.open.items()):
+    def _cancel_all_but(
+        self, kept: send_attempts.GatewayAttempt | None
+    ) -> None:
+        for task, attempt in list(self.open_attempts.items()):
             if attempt is kept or (kept is not None and task.done()):
                 continue
-            self._drop(task)
+            self._cancel(task)
 
-    def _drop(self, task: asyncio.Task) -> None:
-        attempt = self.open.pop(task)
-        self.doubtful.discard(attempt)
-        self._count(attempt)
+    def _cancel(self, task: asyncio.Task) -> None:
+        attempt = self.open_attempts.pop(task)
+        self.unresponsive.discard(attempt)
+        self._note_number(attempt)
         if task.done():
-            # Its connection may carry another request by now.
-            _forget(task)
+            # Its connection may already carry another request.
+            _retrieve_exception(task)
             return
-        attempt.take_back()
+        attempt.reset()
         task.cancel()
 
 
-def _forget(task: asyncio.Task) -> None:
+def _retrieve_exception(task: asyncio.Task) -> None:
     """Look at the end of a task that decides nothing any more."""
     if not task.cancelled():
         task.exception()
--- a/carawaystair/gateway/run_observer.py
+++ b/carawaystair/gateway/run_observer.py
@@ -1,4 +1,4 @@
-"""What a run shows of its upstream, while it goes on and when it ends."""
+"""Feeds an upstream's failure estimate from the course of each run."""
 
 import asyncio
 
@@ -7,19 +7,19 @@
 from carawaystair.load import estimating
 from carawaystair import logs
 
-# A run that has not failed after so long has been worked on: gray upstreams
-# fail at once, as a rule; seconds.
+# A run that has not failed by then was really worked on, since failing
+# upstreams fail at once as a rule, seconds.
 SURVIVED_S = 0.05
-# A run is overdue after so many times what its route usually takes, and this
-# time at least.
-OVERDUE = 4.0
-OVERDUE_S = 1.0
+# A run is overdue after this multiple of its route's typical service time,
+# but not before MIN_OVERDUE_S.
+OVERDUE_FACTOR = 4.0
+MIN_OVERDUE_S = 1.0
 
 LOG = logs.get('gateway')
 
 
 class RunObserver:
-    """One run as its upstream's estimate sees it.
+    """Observes one run on behalf of its upstream's failure estimate.
 
     :param upstream: id of the upstream.
     :param slots: of the upstream.
@@ -32,73 +32,73 @@
         self.upstream = upstream
         self.slots = slots
         self.route = route
-        self.began = clock.now()
-        # Whether it was seen to survive, and to be overdue.
+        self.started_at = clock.now()
         self.survived = False
         self.overdue = False
-        expected_s = slots.queue.takes_s(route, self.began)
+        expected_s = slots.queue.takes_s(route, self.started_at)
         loop = asyncio.get_running_loop()
         self.timers = (
-            loop.call_later(SURVIVED_S, self._survived),
+            loop.call_later(SURVIVED_S, self._on_survived),
             loop.call_later(
-                max(OVERDUE * expected_s, OVERDUE_S), self._overdue
+                max(OVERDUE_FACTOR * expected_s, MIN_OVERDUE_S),
+                self._on_overdue,
             ),
         )
-        slots.gate.trials.began(self.began)
+        slots.gate.trials.began(self.started_at)
 
-    def _survived(self) -> None:
+    def _on_survived(self) -> None:
         if not self.survived:
             self.survived = True
-            self._see(estimating.SURVIVED)
+            self._update_estimate(estimating.SURVIVED)
 
-    def _overdue(self) -> None:
-        """Count a run that hangs before it ends.
+    def _on_overdue(self) -> None:
+        """Count a hanging run as a failure before it ends.
 
-        Its upstream would get others meanwhile, which hang as well.
+        The upstream would be sent more requests meanwhile, and hang on them.
         """
         self.overdue = True
-        self._see(estimating.OVERDUE)
+        self._update_estimate(estimating.OVERDUE)
         self.slots.gate.trials.failed(clock.now())
 
-    def _see(self, sight: estimating.Sight) -> None:
-        before = self.slots.failing()
-        self.slots.gate.estimate.see(sight, clock.now())
-        after = self.slots.failing()
-        said = {'upstream': self.upstream, 'failing': round(after, 3)}
+    def _update_estimate(self, observation: estimating.Sight) -> None:
+        before = self.slots.failure_chance()
+        self.slots.gate.estimate.see(observation, clock.now())
+        after = self.slots.failure_chance()
+        fields = {'upstream': self.upstream, 'failing': round(after, 3)}
         if before <= estimating.LIKELY < after:
-            LOG.info('An upstream is likely to fail.', **said)
-            # It would fail all that wait for it, one after the other, within
-            # milliseconds; others may have room for them.
+            LOG.info('Upstream is likely to fail.', **fields)
+            # It would fail all waiting requests within milliseconds; other
+            # upstreams may have room for them.
             self.slots.evict_waiting()
         elif after <= estimating.LIKELY < before:
-            LOG.info('An upstream is sound again.', **said)
+            LOG.info('Upstream has recovered.', **fields)
 
     def stop(self) -> None:
-        """Look no further: the run has ended."""
+        """Stop observing: the run has ended."""
         for timer in self.timers:
             timer.cancel()
 
     def succeeded(self) -> None:
-        """Take note of a good answer."""
+        """Record a good answer."""
         now = clock.now()
-        took_s = now - self.began
-        self.slots.queue.learn(self.route, self.began, took_s)
-        self._survived()
+        took_s = now - self.started_at
+        self.slots.queue.learn(self.route, self.started_at, took_s)
+        self._on_survived()
         if not self.overdue:
-            self._see(estimating.SUCCEEDED)
+            self._update_estimate(estimating.SUCCEEDED)
         self.slots.gate.trials.succeeded()
 
     def failed(self) -> None:
-        """Take note of a failure."""
+        """Record a failure."""
         now = clock.now()
         self.slots.gate.trials.failed(now)
-        if now - self.began < SURVIVED_S:
-            self._see(estimating.FAILED_AT_ONCE)
+        if now - self.started_at < SURVIVED_S:
+            self._update_estimate(estimating.FAILED_AT_ONCE)
             return
-        self._survived()
+        self._on_survived()
         if not self.overdue:
-            self._see(estimating.FAILED)
+            self._update_estimate(estimating.FAILED)
 
     def shed(self) -> None:
-        """Take note that the upstream did not take the request."""
-        self._see(estimating.SHED)
+        """Record that the upstream shed the request."""
+        self._update_estimate(estimating.SHED)
--- a/carawaystair/gateway/runs.py
+++ b/carawaystair/gateway/runs.py
@@ -1,13 +1,13 @@
-"""At most one run for each request that may not run twice.
+"""Deduplication: at most one run for each non-idempotent request.
 
 The gateway is the only way to its upstream, so it alone decides.  A
 connection between two nodes may be lost while a request is on its way, while
-it runs, or while its answer returns.  The node that handed it over then asks
-again, under the same key, on a new connection: a request that never arrived is
-run, one that runs is waited for, and a ready answer is delivered.
+it runs, or while its answer returns.  The sending node then sends it again
+with the same key on a new connection: a request that never arrived is run, one
+that is running is waited for, and an answer that is ready is delivered.
 
-Symptom without it: a connection that is lost for a moment costs the answer of
-a request that may not be repeated, though it was run and paid for.
+Otherwise a short interruption of a connection would lose the answer of a
+non-idempotent request that has run.
 """
 
 import asyncio
@@ -22,68 +22,68 @@
 from carawaystair import interfaces
 from carawaystair.request import answer as answers
 
-# A run that nobody waits for is cancelled after so long, when its connection
-# broke: whoever handed it over notices within this time and asks again.
-ORPHAN_S = 2.5
-KEEP_SHORT_S = 1.0
-# A ready answer is kept for so long, seconds.
+# A run whose last connection broke is cancelled after this time.  The sender
+# notices the break earlier and resumes the request, seconds.
+ORPHAN_TIMEOUT_S = 2.5
+# How long answers are kept, of idempotent requests and of others, seconds.
+KEEP_IDEMPOTENT_S = 1.0
 KEEP_S = 20.0
-# An id is remembered for so long: requests have shorter deadlines, and a
-# send that was held up by a cut must not run behind them.
+# How long keys are remembered.  It exceeds the deadlines of requests, so that
+# a send that was delayed by a network partition can't run after them, seconds.
 REMEMBER_S = 90.0
-MOST = 20_000
+MAX_RUNS = 20_000
 
 
 class Run:
-    """One request that may not run twice.
+    """State of one request.
 
-    :param number: the highest number of its sends that was seen.
+    :param send_number: the highest number among its sends so far.
+    :param first_seen: when it arrived first, monotonic time.
     """
 
-    __slots__ = ('holders', 'number', 'ran', 'seen', 'task')
+    __slots__ = ('waiters', 'send_number', 'ran', 'first_seen', 'task')
 
-    def __init__(self, number: int, seen: float) -> None:
-        self.number = number
-        self.seen = seen
-        # None when it was refused, and when its answer is forgotten.
+    def __init__(self, send_number: int, first_seen: float) -> None:
+        self.send_number = send_number
+        self.first_seen = first_seen
+        # None if it was refused, or if its answer was dropped.
         self.task: asyncio.Task | None = None
-        # Whether it may have run, whatever becomes of it when it is asked for
-        # again.
+        # Whether it may have run before, whatever a further send results in.
         self.ran = False
-        self.holders = 0
+        self.waiters = 0
 
 
 class Runs:
-    """The requests that this process was handed.
+    """Tracks the requests that were sent to this process.
 
-    :param mine: tells whether a name is one of this process.
-    :param recorder: takes note of decisions.
+    :param is_own_process: tells whether an id is that of this process.
+    :param recorder: records events.
     """
 
     def __init__(
         self,
-        mine: typing.Callable[[str], bool],
+        is_own_process: typing.Callable[[str], bool],
         recorder: decisions.Recorder,
     ) -> None:
-        self.mine = mine
+        self.is_own_process = is_own_process
         self.recorder = recorder
         self.runs: collections.OrderedDict[str, Run] = (
             collections.OrderedDict()
         )
         self.joined = 0
-        # Runs whose last connection broke, until they would be cancelled.
+        # Broken waiters whose runs are not cancelled yet.
         self.orphans = 0
 
-    async def once(
+    async def run_once(
         self,
         hop: hops.Hop,
         work: typing.Callable[[], typing.Coroutine],
         broken: typing.Callable[[], bool],
     ) -> answers.Answer:
-        """Run a request unless it was run; return its answer.
+        """Run a request unless it has run; return its answer.
 
-        :param work: runs it; called at most once in a run's life.
-        :param broken: tells, once the waiter is cancelled, whether its
+        :param work: runs the request.
+        :param broken: tells, once the last waiter is cancelled, whether its
             connection broke rather than being closed.
         :raises slots.Refused: when it was not run and will not be.
         :raises answers.Failed: when it may have run.
@@ -96,58 +96,58 @@
             )
         else:
             self.joined += 1
-        run.holders += 1
+        run.waiters += 1
         try:
-            return claimed(await asyncio.shield(run.task))
+            return claim(await asyncio.shield(run.task))
         except slots.Refused as refused:
-            if run.ran and refused.reason not in hops.UNSURE:
+            if run.ran and refused.reason not in hops.MAY_HAVE_RUN:
                 raise slots.Refused(hops.RESTARTED, 'it ran before') from None
             raise
         finally:
-            run.holders -= 1
-            if not run.holders:
-                self._leave(hop, run, broken())
+            run.waiters -= 1
+            if not run.waiters:
+                self._last_waiter_left(hop, run, broken())
 
     def _find(self, hop: hops.Hop) -> Run:
         now = clock.now()
-        self._forget(now)
+        self._evict_old(now)
         run = self.runs.get(hop.key)
         if run is None:
-            if hop.again and not self.mine(hop.process):
+            if hop.resumed and not self.is_own_process(hop.process):
                 raise slots.Refused(hops.RESTARTED)
-            run = self.runs[hop.key] = Run(hop.number, now)
+            run = self.runs[hop.key] = Run(hop.send_number, now)
             return run
         if run.task is not None and run.task.cancelled():
-            # Its cancellation would pass for that of whoever asks now.
+            # Joining it would cancel the new waiter as well.
             raise slots.Refused(hops.RESTARTED, 'it was cancelled')
         refused = run.task is None or (
             run.task.done() and _refusal(run.task) is not None
         )
         if refused:
-            if hop.number <= run.number:
-                # Its sender was told that it did not run.
+            if hop.send_number <= run.send_number:
+                # An answer already promised that this send did not run.
                 raise slots.Refused(hops.STALE)
             run.task = None
-        run.number = max(run.number, hop.number)
+        run.send_number = max(run.send_number, hop.send_number)
         return run
 
     def _ended(self, hop: hops.Hop, run: Run, task: asyncio.Future) -> None:
-        """Keep the answer for a while, or only that there was one."""
+        """Schedule the end of the answer's retention."""
         run.ran = run.ran or _refusal(task) is None
         loop = asyncio.get_running_loop()
-        # Those who wait have an idempotent request's answer; later ones may
+        # Waiters of an idempotent request get its answer; a later send may
         # run it again.
-        keep_s = KEEP_SHORT_S if hop.idempotent else KEEP_S
+        keep_s = KEEP_IDEMPOTENT_S if hop.idempotent else KEEP_S
         loop.call_later(keep_s, self._drop_answer, hop, run, task)
 
     def _drop_answer(
         self, hop: hops.Hop, run: Run, task: asyncio.Future
     ) -> None:
-        """Forget an answer, but not that the request was run.
+        """Drop an answer, but remember that the request ran.
 
-        One that was refused may be on its second run by now.  That one is
-        not to be forgotten: nobody could cancel it any more, and it would
-        run for a caller who has left long ago.
+        A request that was refused may be on its second run by now.  That run
+        must be kept: otherwise nobody could cancel it, and it would continue
+        after its caller has left.
         """
         if run.task is not task:
             return
@@ -156,11 +156,11 @@
             return
         run.task = asyncio.get_running_loop().create_future()
         run.task.set_exception(slots.Refused(hops.RESTARTED))
-        # Nobody may ever look at it.
+        # Avoids a warning when nobody retrieves the exception.
         run.task.exception()
 
-    def _leave(self, hop: hops.Hop, run: Run, broken: bool) -> None:
-        """Cancel what nobody waits for, unless it may be asked for again."""
+    def _last_waiter_left(self, hop: hops.Hop, run: Run, broken: bool) -> None:
+        """Cancel a run without waiters, unless it may be resumed."""
         if run.task is None:
             return
         if not broken:
@@ -168,11 +168,11 @@
             return
         self.orphans += 1
         loop = asyncio.get_running_loop()
-        loop.call_later(ORPHAN_S, self._cancel_orphan, hop, run)
+        loop.call_later(ORPHAN_TIMEOUT_S, self._cancel_orphan, hop, run)
 
     def _cancel_orphan(self, hop: hops.Hop, run: Run) -> None:
         self.orphans -= 1
-        if not run.holders and run.task is not None:
+        if not run.waiters and run.task is not None:
             self._cancel(hop, run, 'lost')
 
     def _cancel(self, hop: hops.Hop, run: Run, why: str) -> None:
@@ -181,41 +181,47 @@
             self.recorder.tell(event, decisions.TROUBLE)
         _cancel(run.task)
 
-    def _forget(self, now: float) -> None:
+    def _evict_old(self, now: float) -> None:
         runs = self.runs
         while runs:
             first = next(iter(runs.values()))
-            if len(runs) < MOST and now - first.seen < REMEMBER_S:
+            if len(runs) < MAX_RUNS and now - first.first_seen < REMEMBER_S:
                 return
             runs.popitem(last=False)
 
 
 def _refusal(task: asyncio.Future) -> slots.Refused | None:
-    """Return the promise of a run that it was not run, if it made one."""
+    """Return the refusal of a task if that promises that nothing ran."""
     if task.cancelled():
         return None
     error = task.exception()
-    if isinstance(error, slots.Refused) and error.reason not in hops.UNSURE:
+    if (
+        isinstance(error, slots.Refused)
+        and error.reason not in hops.MAY_HAVE_RUN
+    ):
         return error
     return None
 
 
-def claimed(answer: answers.Answer) -> answers.Answer:
-    """Return an answer that nobody else passes on.
+def claim(answer: answers.Answer) -> answers.Answer:
+    """Claim an answer for one waiter.
 
-    A long answer comes once; whoever asks for it again is too late.
+    A long answer can be streamed once only; further waiters fail.
     """
     if answer.rest is not None:
         if answer.rest.claimed:
             raise answers.Failed(
-                interfaces.BROKEN, codes.ANSWER_LOST, True, hops.PASSED_ON
+                interfaces.BROKEN,
+                codes.ANSWER_LOST,
+                True,
+                hops.ALREADY_STREAMED,
             )
         answer.rest.claimed = True
     return answer
 
 
 def _cancel(task: asyncio.Future) -> None:
-    """Cancel a run, or drop its long answer when nobody took it."""
+    """Cancel a run, or abort its long answer if nobody claimed it."""
     if not task.done():
         task.cancel()
         return
@@ -225,4 +231,4 @@
     if rest is not None and not rest.claimed:
         rest.claimed = True
         rest.drop()
-        rest.release()
+        rest.release_slot()
--- a/carawaystair/gateway/send_attempts.py
+++ b/carawaystair/gateway/send_attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request: to another node's gateway, or to an upstream."""
+"""Attempts to send a request to an upstream or to another node's gateway."""
 
 import asyncio
 import socket
@@ -24,81 +24,81 @@
 from carawaystair.request import target as targets
 from carawaystair import settings
 
-# Between two nodes, what was sent is acknowledged within this time, or the
-# connection is lost, seconds.  A gateway sends a sign every 0.3 s, so that a
-# sender that has gone without its close arriving shows within 1.3 s; the
-# system's own patience is minutes.
-SILENCE_S = 1.0
-# A gateway that has not shown within this time that it has a request is
-# asked again, seconds.  It shows it after FIRST_SIGN_S and a round trip
-# between data centres; asking it twice does no harm.
-SIGN_S = 0.15
+# Data between two nodes must be acknowledged within this time, or the
+# connection counts as lost, seconds.  A gateway sends interim answers every
+# 0.3 s, so that it notices within 1.3 s that a sender has gone even if no end
+# of the connection arrives; the operating system's default is minutes.
+UNACKNOWLEDGED_TIMEOUT_S = 1.0
+# Time in which a gateway must show a first sign of life; otherwise the request
+# is resumed, seconds.  The sign takes hop_handler.FIRST_INTERIM_S and a round
+# trip between data centres; resuming too early does no harm.
+FIRST_SIGN_TIMEOUT_S = 0.15
 CONTINUE = 100
-# What breaks a connection.
-BROKEN = (
+# Exceptions that mean that a connection broke.
+CONNECTION_ERRORS = (
     aiohttp.ClientError,
     http_exceptions.HttpProcessingError,
     ConnectionError,
     OSError,
 )
-# Foreign answers that are passed over on one connection.  An upstream that
-# sends more has lost track of its connection.
-MOST_FOREIGN = 3
-# Upstreams close connections that were idle for some seconds, and may do so
-# sooner than they say; one that was used so lately is sound as a rule.
-IDLE_S = 4.0
-# A gateway closes its end at once when it hears that a caller has left; one
-# that has not after so long is cut off, seconds.
-PART_S = 1.0
-# Closing with this sends a reset, which also takes back the bytes that are
-# still on their way.
-RESET = struct.pack('ii', 1, 0)
+# Answers to other requests that are skipped on one connection.  An upstream
+# that sends more has lost track of the connection.
+MAX_FOREIGN_ANSWERS = 3
+# Upstreams close idle connections after some seconds, and possibly earlier
+# than they declare; one that was used this recently is usually still open.
+MAX_IDLE_S = 4.0
+# A gateway closes its side at once when the caller has left; if it does not
+# do so within this time, the connection is aborted, seconds.
+CLOSE_TIMEOUT_S = 1.0
+# Value of SO_LINGER with which closing sends a reset and discards data that
+# is not sent yet.
+LINGER_RESET = struct.pack('ii', 1, 0)
 
 
 class UpstreamAttempt(attempts.Attempt):
-    """A request on its way from the gateway to its upstream.
+    """An attempt of the gateway to send a request to its upstream.
 
-    :param call: the request, whose head has the callers' headers only.
+    :param call: the request; its head has the caller's headers only.
     :param target: the upstream.
-    :param names: names of headers.
-    :param caller_service: the service on the host where it began.
-    :param source: its body where that is not held here.
+    :param header_names: names of the fleet's headers.
+    :param caller_service: the service on the host where the request began.
+    :param source: the source of the body if it is not buffered here.
     """
 
     __slots__ = (
         'body_source',
         'caller_service',
         'claimed',
-        'foreign',
-        'names',
-        'release',
+        'foreign_count',
+        'header_names',
+        'release_slot',
     )
 
     def __init__(
         self,
         call: calls.Call,
         target: targets.Target,
-        names: settings.Headers,
+        header_names: settings.Headers,
         caller_service: str,
         source: bodies.Source | None = None,
     ) -> None:
         super().__init__(call, target)
-        self.names = names
+        self.header_names = header_names
         self.caller_service = caller_service
         self.body_source = source
-        self.foreign = 0
-        # Whether somebody passes its long answer on.
+        self.foreign_count = 0
+        # Whether somebody forwards its long answer.
         self.claimed = False
-        # Gives the slot back once a long answer has passed.
-        self.release: typing.Callable[[], None] | None = None
+        # Releases the slot at the end of a long answer.
+        self.release_slot: typing.Callable[[], None] | None = None
 
     def idle_s(self) -> float:
-        """Return how long the connection may have been idle, in seconds."""
-        return min(super().idle_s(), IDLE_S)
+        """Return how long the connection may have been idle, seconds."""
+        return min(super().idle_s(), MAX_IDLE_S)
 
     def marks(self, left_ms: int) -> bytes:
-        """Return what the upstream is told beside the caller's headers."""
-        names = self.names
+        """Return the fleet's headers for the upstream."""
+        names = self.header_names
         lines = '%s: %s\r\n%s: %d\r\n%s: %s\r\n%s: %s\r\n' % (
             names.request_id,
             self.call.id,
@@ -112,15 +112,14 @@
         return lines.encode()
 
     def source(self) -> bodies.Source:
-        """Return the body that is not held here."""
+        """Return the source of a body that is not buffered here."""
         return self.body_source
 
     async def _head(self, until: float) -> None:
-        """Wait for the answer; pass over those to earlier requests.
+        """Wait for the head of the answer; skip answers to other requests.
 
-        An upstream may send a second answer to a request that it has
-        answered.  It arrives where the next answer is expected, and only its
-        id tells.
+        An upstream may answer the same request twice.  The second answer
+        arrives where the next one is expected, and differs only in its id.
         """
         while True:
             proto = self.connection.proto
@@ -128,19 +127,20 @@
             if message.code < 200:
                 self.interim(message)
                 continue
-            named = message.headers.get(self.names.request_id)
+            named = message.headers.get(self.header_names.request_id)
             if named in (None, self.call.id):
                 self.message, self.payload = message, payload
                 return
-            self.foreign += 1
-            if self.foreign > MOST_FOREIGN:
+            self.foreign_count += 1
+            if self.foreign_count > MAX_FOREIGN_ANSWERS:
                 raise self._failure(codes.ANSWER_FOREIGN, named)
             while not payload.at_eof():
                 await payload.readany()
 
     def length(self, message) -> int | None:
-        """Return the declared length; None for an answer that ends with its
-        connection, too.
+        """Return the declared length of an answer.
+
+        None also for an answer that ends with its connection.
         """
         if message.chunked or 'Content-Length' in message.headers:
             return super().length(message)
@@ -148,25 +148,25 @@
 
 
 class GatewayAttempt(attempts.Attempt):
-    """A request on its way to another node's gateway.
+    """An attempt to send a request to another node's gateway.
 
     :param call: the request.
-    :param target: the upstream, whose address is that of its gateway.
-    :param hop: what the gateway is told.
-    :param helper: whether that gateway only passes it on to another one.
-    :param gateway_clock: that of the gateway; None when the hop is another
-        node's, and says already when it was sent.
+    :param target: the upstream, with the address of its gateway.
+    :param hop: the hop header for the gateway.
+    :param via_detour: whether the gateway is to forward it to another one.
+    :param clock_offset: offset of the gateway's clock; None when the hop is
+        that of another node, which has set the time of sending already.
     """
 
     __slots__ = (
         'accepted',
-        'asked_ms',
-        'gateway_clock',
-        'helper',
+        'sent_at_ms',
+        'clock_offset',
+        'via_detour',
         'hop',
-        'proceeds',
-        'sign_s',
-        'signs',
+        'body_released',
+        'first_sign_timeout_s',
+        'sign_count',
     )
 
     def __init__(
@@ -175,131 +175,136 @@
         target: targets.Target,
         hop: hops.Hop,
         fresh: bool = False,
-        helper: bool = False,
-        gateway_clock: transit.ClockOffset | None = None,
+        via_detour: bool = False,
+        clock_offset: transit.ClockOffset | None = None,
     ) -> None:
         super().__init__(call, target, fresh=fresh)
         self.hop = hop
-        self.helper = helper
-        self.gateway_clock = gateway_clock
-        # When it was sent, in this node's time.
-        self.asked_ms = 0
-        # Whether the gateway has said that it has the request, and whether
-        # its body may go out.
+        self.via_detour = via_detour
+        self.clock_offset = clock_offset
+        # When it was sent, in this node's time, ms.
+        self.sent_at_ms = 0
+        # Whether the gateway has acknowledged the request, and whether the
+        # body may be sent.
         self.accepted = False
-        self.proceeds = not hop.asks
-        self.signs = 0
-        # How long it waits for the first one, seconds.
-        self.sign_s = SIGN_S
+        self.body_released = not hop.expects_continue
+        self.sign_count = 0
+        # How long to wait for the first sign of life, seconds.
+        self.first_sign_timeout_s = FIRST_SIGN_TIMEOUT_S
 
     async def connect(self) -> None:
-        """Get a connection; raises :class:`answers.Failed`."""
-        self.connect_s = max(self.connect_s, self.sign_s)
+        """Get a connection.
+
+        :raises answers.Failed: when none can be made.
+        """
+        self.connect_s = max(self.connect_s, self.first_sign_timeout_s)
         await super().connect()
         transport = self.connection.proto.transport
         if transport is not None and not self.connection.uses:
-            incoming.notice_silence(transport, SILENCE_S)
+            incoming.notice_silence(transport, UNACKNOWLEDGED_TIMEOUT_S)
 
     def marks(self, left_ms: int) -> bytes:
-        """Return the hop as it is in this moment."""
-        if self.gateway_clock is None:
-            return hops.line(self.hop)
-        self.asked_ms = clock.uptime_ms()
-        sent_ms = self.gateway_clock.to_remote(self.asked_ms)
-        return hops.line(self.hop._replace(left_ms=left_ms, sent_ms=sent_ms))
+        """Return the hop header as of now."""
+        if self.clock_offset is None:
+            return hops.header_line(self.hop)
+        self.sent_at_ms = clock.uptime_ms()
+        sent_ms = self.clock_offset.to_remote(self.sent_at_ms)
+        return hops.header_line(
+            self.hop._replace(remaining_ms=left_ms, sent_ms=sent_ms)
+        )
 
     def write(self, head: bytes) -> None:
-        """Write the request, but for a body that waits to be asked for."""
-        if self.proceeds:
+        """Write the request; leave out a body that must be asked for."""
+        if self.body_released:
             super().write(head)
             return
         call = self.call
         length = call.length if call.body is None else len(call.body)
         self.connection.proto.transport.write(head + bodies.framing(length))
 
-    def proceed(self) -> None:
-        """Send the body, if it has not gone out."""
-        if self.proceeds:
+    def send_body(self) -> None:
+        """Send the body if it was not sent yet."""
+        if self.body_released:
             return
-        self.proceeds = True
+        self.body_released = True
         body, proto = self.call.body, self.connection.proto
-        way = self._way()
+        throttle = self._throttle()
         if body is None:
-            self.pump = pacers.Pump(self.source(), proto, way)
-        elif way is pacers.UNTHROTTLED:
+            self.pump = pacers.Pump(self.source(), proto, throttle)
+        elif throttle is pacers.UNTHROTTLED:
             proto.transport.write(body)
             return
         else:
             held = bodies.Source(
                 streams.EMPTY_PAYLOAD, len(body), body, len(body)
             )
-            self.pump = pacers.Pump(held, proto, way)
+            self.pump = pacers.Pump(held, proto, throttle)
         self.pump.start()
 
-    def _way(self) -> pacers.Throttle:
-        """Return the way of its body."""
+    def _throttle(self) -> pacers.Throttle:
+        """Return the throttle for the body."""
         pacer = self.target.pacer
         if pacer is None:
             return pacers.UNTHROTTLED
-        return pacer.way(self.target.upstream.host)
+        return pacer.throttle(self.target.upstream.host)
 
     @property
-    def may_run(self) -> bool:
-        """Tell whether the upstream may have got the request.
+    def may_have_run(self) -> bool:
+        """Return whether the upstream may have received the request.
 
-        It gets none whose body has not begun to come.
+        A request whose body was not sent does not reach it.
         """
-        return self.sent and self.proceeds
+        return self.sent and self.body_released
 
     @property
     def broken(self) -> bool:
-        """Tell whether nothing more can come on its connection."""
+        """Return whether the connection has failed."""
         return self.connection.proto.error is not None
 
     def settle(self, now: float) -> None:
-        """Let the connection go on, if all that its head says was sent."""
-        if self.proceeds:
+        """Return the connection for reuse if the request was sent whole."""
+        if self.body_released:
             super().settle(now)
         else:
             self.connection.proto.abort()
 
     def leaving(self) -> bool:
-        """Tell whether the upstream takes no new work any more.
+        """Return whether the gateway takes no more requests.
 
-        A host whose own upstream leaves can still pass requests on, and what
-        is asked for again is no new work.
+        A host whose own upstream is leaving can still forward requests, and
+        a resumed request is not a new one.
         """
-        if self.helper or self.hop.again:
+        if self.via_detour or self.hop.resumed:
             return False
         return super().leaving()
 
-    async def sign(self, until: float) -> bool:
-        """Wait for the next sign of life; tell whether it is the answer.
+    async def wait_sign(self, until: float) -> bool:
+        """Wait for a sign of life; return whether it is the final answer.
 
-        :raises TimeoutError: when none comes.
+        :raises TimeoutError: when none arrives in time.
         """
         proto = self.connection.proto
         message, payload = await proto.head(until)
         if message.code < 200:
             self.interim(message)
             if message.code == CONTINUE:
-                self.proceed()
+                self.send_body()
             self.accepted = True
-            self.signs += 1
+            self.sign_count += 1
             return False
         self.message, self.payload = message, payload
         return True
 
     def length(self, message) -> int | None:
-        """Return the declared length, None for chunks."""
+        """Return the declared length of an answer; None if it is chunked."""
         if message.chunked:
             return None
         return super().length(message)
 
-    def leave(self) -> None:
-        """Tell the gateway that nobody waits any more.
+    def abandon(self) -> None:
+        """Close the connection, as nobody waits for the answer any more.
 
-        It takes a closed connection for that, a broken one for an accident.
+        The gateway distinguishes this from a connection that broke.
         """
         if self.pump is not None and self.pump.task is not None:
             self.pump.task.cancel()
@@ -308,28 +313,32 @@
         transport = self.connection.proto.transport
         if connections.part(self.connection) is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(PART_S, transport.abort)
+            loop.call_later(CLOSE_TIMEOUT_S, transport.abort)
 
-    def take_back(self) -> None:
-        """Break the connection so that what was sent on it is lost.
+    def reset(self) -> None:
+        """Reset the connection so that data in flight is discarded.
 
-        Behind a cut, the request may not have arrived yet.  Were the
-        connection closed in the normal way, it would arrive when the cut
-        heals, long after its caller was told something else.
+        During a network partition the request may not have arrived yet.  If
+        the connection were closed in the usual way, it would arrive after the
+        partition, long after its caller was given another outcome.
         """
         connection = self.connection
         transport = connection.proto.transport if connection else None
         if transport is not None:
             raw = transport.get_extra_info('socket')
             if raw is not None:
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                raw.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET
+                )
         self.drop()
 
 
-async def answer_of(attempt: attempts.Attempt, until: float) -> answers.Answer:
-    """Connect, send and return the answer, whole or its beginning.
+async def send_for_answer(
+    attempt: attempts.Attempt, until: float
+) -> answers.Answer:
+    """Connect, send and return the answer, or its beginning if it is long.
 
-    :raises answers.Failed: when there is none; a late one, too.
+    :raises answers.Failed: when there is no answer in time.
     """
     try:
         await attempt.connect()
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -1,4 +1,4 @@
-"""The request path of a node with a gateway: its start and its stop."""
+"""Service that routes requests on a node with a gateway: start and stop."""
 
 import asyncio
 import typing
@@ -7,19 +7,19 @@
 
 from carawaystair import clock
 from carawaystair import decisions
-from carawaystair.gateway import caller_handler as fronts
-from carawaystair.gateway import dispatcher as relays
-from carawaystair.gateway import executor as works
-from carawaystair.gateway import gateway_client as handovers
-from carawaystair.gateway import hop_handler as doors
-from carawaystair.gateway import nested_calls as inners
+from carawaystair.gateway import caller_handler
+from carawaystair.gateway import dispatcher as dispatchers
+from carawaystair.gateway import executor as executors
+from carawaystair.gateway import gateway_client
+from carawaystair.gateway import hop_handler
+from carawaystair.gateway import nested_calls
 from carawaystair.gateway import pacer as pacers
 from carawaystair.gateway import paths
-from carawaystair.gateway import request_metrics as figures_module
+from carawaystair.gateway import request_metrics
 from carawaystair.gateway import send_attempts
 from carawaystair.gateway import splitting
-from carawaystair.gateway import startup as settlings
-from carawaystair.gateway import upstream_pool as knowns
+from carawaystair.gateway import startup
+from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
 from carawaystair.load import nesting
 from carawaystair.load import retrying
@@ -29,26 +29,27 @@
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters as meters_module
 
-STOP_POLL_S = 0.02
-# A header line of a caller may be as long as the configuration says; nodes
-# take any that another one took.
-MOST_HEAD_BYTES = 2**20
-# A stop ends so long before the time given to it, seconds: the parts behind
-# this one have to end, too.
-STOP_SLACK_S = 0.3
-# What is left is answered, and the answers get so long to go out, seconds.
-ANSWER_S = 0.05
+STOP_POLL_INTERVAL_S = 0.02
+# The length of callers' headers is limited by the configuration; nodes accept
+# whatever another node has accepted.
+MAX_HEAD_BYTES = 2**20
+# Part of the drain time that is left for the services that stop after this
+# one, seconds.
+STOP_MARGIN_S = 0.3
+# Time to write the last answers before connections are closed, seconds.
+FLUSH_S = 0.05
 
 
 class Gateway(mode.Service):
-    """Takes requests of callers and of other nodes.
+    """Routes requests of callers and of other nodes.
 
     :param kernel: the process.
-    :param membership: the upstreams of this host and of others.
+    :param membership: the membership service of the process.
     :param routing: returns the configuration in force.
-    :param recorder: takes note of decisions.
-    :param behind_s: returns since when a newer configuration is known.
-    :param quarantine: knows requests that crash upstreams.
+    :param recorder: records events.
+    :param behind_s: returns for how long a newer configuration has been
+        known, seconds; 0.0 while there is none.
+    :param quarantine: tracks requests that crash upstreams.
     """
 
     def __init__(
@@ -68,15 +69,15 @@
         self.routing = routing
         rng = kernel.random('gateway')
         node = settings.node
-        share = retrying.Budgets(
+        retry_budgets = retrying.Budgets(
             node.retry_ratio,
             0.0,
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        inner = inners.NestedCalls(nesting.Payer(share))
+        nested = nested_calls.NestedCalls(nesting.Payer(retry_budgets))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
-        self.pool = knowns.UpstreamPool(
+        self.pool = upstream_pool.UpstreamPool(
             settings.data_centre,
             membership.directory,
             routing,
@@ -87,47 +88,48 @@
         self.path_monitor = paths.PathMonitor(
             self.pool, settings.host, self.add_future, rng
         )
-        self.client = handovers.GatewayClient(
+        self.client = gateway_client.GatewayClient(
             settings.host,
             self.path_monitor,
             self.pool,
-            self._process,
+            self._process_of,
             recorder,
         )
-        settling = settlings.StartupWait()
-        self.dispatcher = relays.Dispatcher(
+        startup_wait = startup.StartupWait()
+        self.dispatcher = dispatchers.Dispatcher(
             self.pool,
             self.client,
-            settling,
-            share,
+            startup_wait,
+            retry_budgets,
             quarantine,
             rng,
             recorder,
         )
-        # The time of the start keeps ids of two runs of this host apart.
-        self.request_metrics = figures_module.RequestMetrics()
-        self.caller_handler = fronts.CallerHandler(
+        # Request ids begin with the start time of the process, so that they
+        # differ from those of its previous runs.
+        self.request_metrics = request_metrics.RequestMetrics()
+        self.caller_handler = caller_handler.CallerHandler(
             settings,
             '%s-%x' % (settings.host, kernel.incarnation & 0xFFFFFFFF),
             routing,
             behind_s,
             self.dispatcher,
-            settling,
+            startup_wait,
             splitting.Splitter(rng),
-            inner,
+            nested,
             self.meters,
             self.request_metrics,
             recorder,
         )
-        self.executor = works.Executor(
+        self.executor = executors.Executor(
             membership,
             settings,
-            inner,
+            nested,
             self.request_metrics,
             quarantine,
             recorder,
         )
-        self.hop_handler = doors.HopHandler(
+        self.hop_handler = hop_handler.HopHandler(
             self.executor, self.request_metrics, recorder, self.pacer
         )
         self.recorder = recorder
@@ -141,13 +143,13 @@
         )
         self.stopping = False
 
-    def _process(self, host: str) -> str:
-        """Return the process that runs on a host, as far as is known."""
+    def _process_of(self, host: str) -> str:
+        """Return the process that runs on a host; '' if unknown."""
         entry = self.membership.table.entries.get(host)
         return '' if entry is None else str(entry.record.incarnation)
 
     def ejected(self, service: str) -> frozenset[str]:
-        """Return the upstreams that last were said to fail."""
+        """Return the upstreams that were last reported as failing."""
         views = self.pool.board.views
         return frozenset(
             upstream.id
@@ -167,7 +169,7 @@
         await self.caller_listener.listen(settings.bound(settings.node.listen))
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
-        """Yield what the parts of the path know of themselves."""
+        """Yield metrics of all parts of the request path."""
         yield metrics.Sample('resumed_total', self.client.resumed)
         yield metrics.Sample('hedged_total', self.dispatcher.hedged)
         yield metrics.Sample('joined_runs_total', self.hop_handler.runs.joined)
@@ -179,11 +181,11 @@
             yield metrics.Sample('link_ahead_seconds', ahead_s)
         for name, slots in self.executor.slots.items():
             labels = (('upstream', name),)
-            line = slots.queue
-            yield metrics.Sample('gateway_running', line.running, labels)
-            yield metrics.Sample('gateway_waiting', len(line.waiting), labels)
+            queue = slots.queue
+            yield metrics.Sample('gateway_running', queue.running, labels)
+            yield metrics.Sample('gateway_waiting', len(queue.waiting), labels)
             yield metrics.Sample(
-                'gateway_failing_chance', slots.failing(), labels
+                'gateway_failing_chance', slots.failure_chance(), labels
             )
             idle_s = slots.gate.idle_s(clock.now())
             yield metrics.Sample('gateway_idle_seconds', idle_s, labels)
@@ -192,7 +194,7 @@
             yield metrics.Sample(
                 'service_failing_share', spread.failing, labels
             )
-        for service, budget in self.dispatcher.budgets.budgets.items():
+        for service, budget in self.dispatcher.retry_budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
                 'node_firsts_total', budget.total_firsts, labels
@@ -200,7 +202,7 @@
             yield metrics.Sample(
                 'node_repeats_total', budget.total_repeats, labels
             )
-        for service, budget in self.executor.budgets.budgets.items():
+        for service, budget in self.executor.retry_budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
                 'gateway_firsts_total', budget.total_firsts, labels
@@ -211,7 +213,7 @@
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """Close connections that were idle too long."""
+        """Close connections that have been idle for too long."""
         while not self.should_stop:
             await self.sleep(connections.SWEEP_S)
             now = clock.now()
@@ -219,39 +221,39 @@
             self.executor.sweep(now)
 
     async def on_stop(self) -> None:
-        """Let callers and other nodes leave, finish, then close.
+        """Drain, then close.
 
-        Callers notice that this node is not ready only after a while; their
-        requests are served until then.  Other nodes are told at once, and
-        refused at once: they have other gateways to ask.
+        Callers notice only after a while that this node is no longer ready,
+        so their requests are served until then.  Other nodes are notified and
+        refused at once, since they have other gateways to choose from.
         """
         self.stopping = True
         node = self.settings.node
         now = clock.now()
-        ends = now + max(node.drain_s - STOP_SLACK_S, 0.0)
-        self.caller_handler.ends = ends
-        self.caller_handler.last_new = min(now + node.lame_duck_s, ends)
+        ends_at = now + max(node.drain_s - STOP_MARGIN_S, 0.0)
+        self.caller_handler.ends = ends_at
+        self.caller_handler.accept_until = min(now + node.lame_duck_s, ends_at)
         self.membership.registry.close()
         self.executor.close()
-        while clock.now() < self.caller_handler.last_new:
-            await asyncio.sleep(STOP_POLL_S)
+        while clock.now() < self.caller_handler.accept_until:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
         self.caller_listener.close()
         self.caller_listener.close_idle()
-        while clock.now() < ends and self._busy():
-            await asyncio.sleep(STOP_POLL_S)
+        while clock.now() < ends_at and self._busy():
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
         self.node_listener.close()
-        self.caller_handler.give_up()
-        await asyncio.sleep(ANSWER_S)
+        self.caller_handler.cancel_remaining()
+        await asyncio.sleep(FLUSH_S)
         await self.caller_listener.abort()
         await self.node_listener.abort()
         self.pool.close()
 
     def _busy(self) -> bool:
-        """Tell whether work or answers are on their way.
+        """Return whether requests or answers are in progress.
 
-        An answer counts until the system has all of it: on a link that is
-        full or to a caller that reads slowly, a part of it stands here.  And
-        a run whose connection broke may be asked for again.
+        An answer counts until the operating system has taken all of it: on a
+        full link, or with a slow caller, part of it is buffered here.  A run
+        whose connection broke counts because it may be resumed.
         """
         listeners = (self.caller_listener, self.node_listener)
         return bool(
@@ -263,7 +265,11 @@
 
 
 def _node_limits() -> incoming.Bounds:
-    """Return what other nodes may send: heads as long as callers' and ours,
-    and no connection that has gone silent.
+    """Return the limits on what other nodes may send.
+
+    Heads are as long as those of callers plus that of the fleet; connections
+    that have gone silent are closed.
     """
-    return incoming.Bounds(MOST_HEAD_BYTES, silence_s=send_attempts.SILENCE_S)
+    return incoming.Bounds(
+        MAX_HEAD_BYTES, silence_s=send_attempts.UNACKNOWLEDGED_TIMEOUT_S
+    )
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -1,4 +1,4 @@
-"""The slots of one upstream, and the tasks that wait for them."""
+"""Slots of one upstream and the requests that wait for them."""
 
 import asyncio
 import typing
@@ -11,10 +11,11 @@
 
 
 class Refused(Exception):
-    """A request gets no slot.
+    """A request was refused and has no slot.
 
-    :param reason: why, see ``hops`` and ``load.rejecting``.
-    :param detail: the circumstances, for a person.
+    :param reason: the reason, see ``hops``, ``load.rejecting`` and
+        ``load.gate``.
+    :param detail: circumstances, for the log.
     """
 
     def __init__(self, reason: str, detail: str = '') -> None:
@@ -24,22 +25,24 @@
 
 
 class Slots:
-    """Hands out the slots of one upstream.
+    """Assigns the slots of one upstream to requests.
 
-    :param process: returns the name of this process, for reports.
-    :param count: the slots.
+    :param process_id: returns the id of this process, for reports.
+    :param count: number of slots.
     """
 
-    def __init__(self, process: typing.Callable[[], str], count: int) -> None:
-        self.process = process
+    def __init__(
+        self, process_id: typing.Callable[[], str], count: int
+    ) -> None:
+        self.process_id = process_id
         self.gate = gate.Gate(count)
         self.queue = self.gate.line
         self.waiters: dict[str, asyncio.Future] = {}
 
-    async def take(self, want: waiting.Want, may_wait: bool) -> float:
-        """Wait for a slot; return the seconds that it took.
+    async def acquire(self, want: waiting.Want, may_wait: bool) -> float:
+        """Wait for a slot; return the time that it took, seconds.
 
-        :raises Refused: when there is none in time.
+        :raises Refused: when no slot will be free in time.
         """
         began = clock.now()
         verdict = self.queue.ask(want, began, may_wait)
@@ -50,15 +53,15 @@
         loop = asyncio.get_running_loop()
         future = self.waiters[want.id] = loop.create_future()
         timer = loop.call_at(
-            self.queue.last_start(want, began), self._give_up, want.id
+            self.queue.last_start(want, began), self._expire, want.id
         )
         try:
             if not await future:
-                raise Refused(rejecting.HOPELESS, 'its time is over')
+                raise Refused(rejecting.HOPELESS, 'no slot in time')
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
-                # It was given a slot in the moment in which it left.
-                self.free(want.id)
+                # The slot was assigned at the moment of cancellation.
+                self.release(want.id)
             raise
         finally:
             timer.cancel()
@@ -66,46 +69,46 @@
             self.waiters.pop(want.id, None)
         return clock.now() - began
 
-    def free(self, request: str) -> None:
-        """Give the slot of a request back."""
+    def release(self, request: str) -> None:
+        """Release the slot of a request."""
         self.queue.end(request)
-        self.serve()
+        self.start_waiting()
 
-    def serve(self) -> None:
-        """Let those start who have a slot now."""
+    def start_waiting(self) -> None:
+        """Start waiting requests while slots are free."""
         while started := self.queue.start(clock.now()):
             for name in started:
                 future = self.waiters.get(name)
                 if future is None or future.done():
-                    # It left just now.
+                    # It was cancelled at this moment.
                     self.queue.end(name)
                 else:
                     future.set_result(True)
 
     def evict_waiting(self) -> None:
-        """Let all that wait go elsewhere: the upstream has turned gray."""
-        self.refuse_all(gate.RISKY)
+        """Refuse all waiting requests, as the upstream is likely to fail."""
+        self.refuse_waiting(gate.RISKY)
 
-    def refuse_all(self, reason: str) -> None:
-        """Refuse all that wait: the upstream takes no more work."""
+    def refuse_waiting(self, reason: str) -> None:
+        """Refuse all waiting requests."""
         for name, future in list(self.waiters.items()):
             self.queue.leave(name)
             if not future.done():
                 future.set_exception(Refused(reason))
 
-    def _give_up(self, name: str) -> None:
+    def _expire(self, name: str) -> None:
         future = self.waiters.get(name)
         if future is not None and not future.done():
             self.queue.leave(name)
             future.set_result(False)
 
-    def failing(self) -> float:
-        """Return how likely the upstream fails the next request, 0 to 1."""
+    def failure_chance(self) -> float:
+        """Return the probability that the next request fails, 0 to 1."""
         return self.gate.estimate.failing(clock.now())
 
     def report(self, route: str = '') -> placing.Report:
-        """Return what other nodes should know.
+        """Return the state of the upstream for other nodes.
 
-        :param route: key of the route that was asked for.
+        :param route: key of the route for which service times are reported.
         """
-        return self.gate.report(self.process(), route, clock.now())
+        return self.gate.report(self.process_id(), route, clock.now())
--- a/carawaystair/gateway/splitting.py
+++ b/carawaystair/gateway/splitting.py
@@ -1,23 +1,23 @@
-"""Which of several services gets the next request of a route.
+"""Traffic splitting among the services of a route.
 
-Smooth weighted round robin: over any run of requests each service has its
-share, to within one request.  Each node begins at a point of the round that
-chance picks, so that many nodes with few requests each keep the shares, too.
+Smooth weighted round robin: in any sequence of requests each service gets its
+share to within one request.  Each node starts at a random point of the cycle,
+so that many nodes with few requests each keep the shares overall, too.
 """
 
 import random
 
 from carawaystair import manifest
 
-# Routes that are remembered; the oldest begins anew after that.
-MOST = 4096
+# Routes whose state is kept; the oldest one starts a new cycle after that.
+MAX_ROUTES = 4096
 
 
-class _Round:
-    """The state of one route.
+class _RoundRobin:
+    """Round-robin state of one route.
 
     :param shares: its services with their weights.
-    :param rng: picks where the round begins.
+    :param rng: chooses the start of the cycle.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         """Return the service of the next request."""
         for index, share in enumerate(self.shares):
             self.credit[index] += share.weight
-        # A service without weight gets nothing, whatever its credit.
+        # A service with weight 0 gets nothing, even if its credit is highest.
         usable = [i for i, share in enumerate(self.shares) if share.weight]
         chosen = max(usable, key=lambda index: self.credit[index])
         self.credit[chosen] -= self.total
@@ -39,25 +39,25 @@
 
 
 class Splitter:
-    """Chooses services for the routes that have several.
+    """Chooses among the services of routes that have several.
 
     :param rng: the source of randomness.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.rounds: dict[str, _Round] = {}
+        self.rounds: dict[str, _RoundRobin] = {}
 
     def service(self, key: str, route: manifest.Route) -> str:
         """Return the service of the next request of a route.
 
-        :param key: names the route.
+        :param key: key of the route.
         """
         if not route.split:
             return route.service
         found = self.rounds.get(key)
         if found is None or found.shares != route.split:
-            found = self.rounds[key] = _Round(route.split, self.rng)
-            if len(self.rounds) > MOST:
+            found = self.rounds[key] = _RoundRobin(route.split, self.rng)
+            if len(self.rounds) > MAX_ROUTES:
                 del self.rounds[next(iter(self.rounds))]
         return found.next()
--- a/carawaystair/gateway/startup.py
+++ b/carawaystair/gateway/startup.py
@@ -1,9 +1,9 @@
-"""The first seconds of a process, in which it does not know enough yet.
+"""Waiting for configuration and upstreams right after the start of a process.
 
-Symptom without it: after all processes were stopped at once, each rejects all
-requests for one or two seconds more, although it would know its configuration
-and the upstreams in a moment.  Only in these seconds a request is held until
-that is known; later, what is not known does not exist.
+Without it, after a stop of all processes each would reject every request for
+one or two seconds more, although it receives its configuration and the
+upstreams within moments.  Requests are held until then only in these first
+seconds; later, what is unknown is taken not to exist.
 """
 
 import asyncio
@@ -11,29 +11,29 @@
 
 from carawaystair import clock
 
-# Upstreams announce themselves again within one interval, 1.5 s, and a
-# configuration comes within a round trip of the first control host's answer.
-SETTLE_S = 3.0
-# A request is held for so long at most, seconds.
-HOLD_S = 1.6
-POLL_S = 0.03
+# Covers one announcement interval of the upstreams, 1.5 s, and the round trip
+# to the first control host that answers with a configuration, seconds.
+STARTUP_S = 3.0
+# How long a request is held at most, seconds.
+MAX_WAIT_S = 1.6
+POLL_INTERVAL_S = 0.03
 
 
 class StartupWait:
-    """Waits for what a process that has just started will know soon."""
+    """Holds requests while a process has just started."""
 
     def __init__(self) -> None:
-        self.until = clock.now() + SETTLE_S
+        self.ends_at = clock.now() + STARTUP_S
 
     async def wait(
-        self, known: typing.Callable[[], bool], latest: float
+        self, ready: typing.Callable[[], bool], latest: float
     ) -> bool:
-        """Wait until something is known; tell whether it is.
+        """Wait until a condition holds; return whether it does.
 
-        :param known: tells whether it is.
-        :param latest: monotonic time beyond which waiting is of no use.
+        :param ready: the condition.
+        :param latest: monotonic time at which to give up.
         """
-        latest = min(latest, self.until, clock.now() + HOLD_S)
-        while not known() and clock.now() < latest:
-            await asyncio.sleep(POLL_S)
-        return known()
+        latest = min(latest, self.ends_at, clock.now() + MAX_WAIT_S)
+        while not ready() and clock.now() < latest:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return ready()
--- a/carawaystair/gateway/streaming.py
+++ b/carawaystair/gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Passes a long answer on, as fast as the other side takes it."""
+"""Writes answers to callers and nodes, long ones while they arrive."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 from carawaystair.request import exchange as exchanges
 from carawaystair.request import headers
 
-# An answer that stands still for so long in its middle has broken off,
-# seconds.  Links lose packets for some seconds and recover; upstreams that
-# answer at all send what they have at once.
-STALL_S = 8.0
-BROKEN = (
+# An answer that makes no progress for this time is taken to be interrupted,
+# seconds.  Links recover from packet loss within some seconds, and an upstream
+# that has begun to answer sends its data without long pauses.
+STALL_TIMEOUT_S = 8.0
+CONNECTION_ERRORS = (
     aiohttp.ClientError,
     http_exceptions.HttpProcessingError,
     ConnectionError,
@@ -25,67 +25,69 @@
 )
 
 
-async def whole(
+async def write_whole(
     answer: answers.Answer,
     exchange: exchanges.Exchange,
-    extra: bytes,
-    way: pacer.Throttle,
+    extra_headers: bytes,
+    throttle: pacer.Throttle,
 ) -> None:
-    """Write an answer that is held whole.
+    """Write an answer that is buffered whole.
 
-    :param extra: header lines to add.
-    :param way: the way to the caller.
+    :param extra_headers: header lines to add.
+    :param throttle: limits the rate.
     """
-    data = exchange.packed(answer, codes.OK, extra)
-    async for piece in way.pieces(data):
-        exchange.write(piece)
+    data = exchange.packed(answer, codes.OK, extra_headers)
+    async for chunk in throttle.chunks(data):
+        exchange.write(chunk)
         await exchange.drained()
 
 
-async def pass_on(
+async def stream(
     attempt: attempts.Attempt,
     answer: answers.Answer,
     exchange: exchanges.Exchange,
-    extra: bytes = b'',
-    way: pacer.Throttle = pacer.UNTHROTTLED,
+    extra_headers: bytes = b'',
+    throttle: pacer.Throttle = pacer.UNTHROTTLED,
 ) -> str:
-    """Pass a long answer on; return why it broke off, or nothing.
+    """Stream a long answer; return why it was interrupted, or ''.
 
-    A broken answer must never look whole, so the caller's connection is cut.
+    An incomplete answer must not look complete, so the connection is aborted.
 
-    :param extra: header lines to add.
-    :param way: the way to the caller.
+    :param extra_headers: header lines to add.
+    :param throttle: limits the rate.
     """
     length = headers.value(answer.headers, b'content-length')
-    whole = False
+    complete = False
     try:
-        # Held back, a long answer would take memory without a bound.
+        # Buffering a long answer until its turn would take unbounded memory.
         await exchange.request.at_turn()
-        exchange.begin(answer, None if length is None else int(length), extra)
+        exchange.begin(
+            answer, None if length is None else int(length), extra_headers
+        )
         writer = exchange.request.writer
-        await _write(answer.body, exchange, way)
+        await _write(answer.body, exchange, throttle)
         payload = attempt.payload
         while not payload.at_eof():
-            async with asyncio.timeout(STALL_S):
+            async with asyncio.timeout(STALL_TIMEOUT_S):
                 chunk = await payload.readany()
-            await _write(chunk, exchange, way)
+            await _write(chunk, exchange, throttle)
         if writer.chunked:
             await writer.write_eof()
-        whole = True
+        complete = True
         return ''
-    except BROKEN as error:
+    except CONNECTION_ERRORS as error:
         exchange.cut()
         return '%s: %s' % (codes.ANSWER_LOST.label, error)
     finally:
-        if whole:
+        if complete:
             attempt.settle(clock.now())
         else:
             attempt.drop()
 
 
 async def _write(
-    data: bytes, exchange: exchanges.Exchange, way: pacer.Throttle
+    data: bytes, exchange: exchanges.Exchange, throttle: pacer.Throttle
 ) -> None:
-    async for piece in way.pieces(data):
-        await exchange.request.writer.write(piece, drain=False)
+    async for chunk in throttle.chunks(data):
+        await exchange.request.writer.write(chunk, drain=False)
         await exchange.drained()
--- a/carawaystair/gateway/upstream_pool.py
+++ b/carawaystair/gateway/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams that a node sends to, as the directory has them now."""
+"""Upstreams to which a node sends, with their connections and loads."""
 
 import collections
 import random
@@ -16,29 +16,29 @@
 
 
 class Choice(typing.NamedTuple):
-    """The upstream to offer a request to.
+    """The upstream to which a request is offered.
 
     :param target: the upstream.
-    :param count: upstreams that take work, this one included.
-    :param least: what the request must be worth there, 0 to 1; None when it
-        may wait there whatever that is.
-    :param again: what it is worth if it fails there, 0 to 1.
+    :param usable_count: upstreams that take work, this one included.
+    :param min_value: value that the request must have there to be accepted,
+        0 to 1; None when it may wait there whatever its value.
+    :param retry_value: value that is left if it fails there, 0 to 1.
     """
 
     target: targets.Target
-    count: int
-    least: float | None
-    again: float = 0.0
+    usable_count: int
+    min_value: float | None
+    retry_value: float = 0.0
 
 
 class UpstreamPool:
-    """Upstreams, their gateways and what is known of their load.
+    """Tracks upstreams and their load, and chooses one for each request.
 
-    :param data_centre: where this node stands.
-    :param directory: the upstreams.
+    :param data_centre: the data centre of this node.
+    :param directory: the upstreams of the fleet.
     :param routing: returns the configuration in force.
     :param rng: the source of randomness.
-    :param pacer: shares the link of this host, None where nothing does.
+    :param pacer: paces sending over the link of this host; None for no limit.
     """
 
     def __init__(
@@ -58,22 +58,22 @@
         self.spreadings: collections.defaultdict = collections.defaultdict(
             spreading.Spreading
         )
-        directory.subscribe(self.changed)
+        directory.subscribe(self.on_upstream_changed)
 
-    def changed(self, upstream: interfaces.Upstream) -> None:
-        """Take note of an upstream that changed."""
+    def on_upstream_changed(self, upstream: interfaces.Upstream) -> None:
+        """Update the target of an upstream that changed."""
         target = self.targets.get(upstream.id)
         if target is not None and not targets.former(target, upstream):
-            self._update(target, upstream)
+            self._update_target(target, upstream)
 
-    def _update(
+    def _update_target(
         self, target: targets.Target, new: interfaces.Upstream
     ) -> None:
-        """Bring a target up to date, or let go of it.
+        """Update a target, or remove it if its upstream is gone or moved.
 
-        A request that is with the gateway of one host must not be asked for
-        at another one, which knows of no run and would run it again.  So an
-        id that moves gets a target of its own there.
+        A request that is at the gateway of one host must not be resumed at
+        another one, which knows of no run and would run it again.  So an id
+        that moves to another host gets a new target.
         """
         old = target.upstream
         moved = (old.host, old.address) != (new.host, new.address)
@@ -88,12 +88,12 @@
             self.board.renew(new.id, new.incarnation)
         target.upstream = new
 
-    def learn(self, service: str, good: bool) -> None:
-        """Take note of what became of a request that was run."""
+    def record_outcome(self, service: str, good: bool) -> None:
+        """Record whether a run of a service succeeded."""
         self.spreadings[service].learn(good)
 
     def sweep(self, now: float) -> None:
-        """Close connections that were idle for long."""
+        """Close connections that have been idle for too long."""
         for target in self.targets.values():
             connections.sweep(target, now)
 
@@ -103,18 +103,18 @@
             connections.close_idle(target)
 
     def target(self, upstream: interfaces.Upstream) -> targets.Target:
-        """Return what this node knows of an upstream."""
+        """Return the current target of an upstream."""
         target = self.targets.get(upstream.id)
         if target is not None and target.upstream is not upstream:
-            # The directory forgets services that nobody asks for, and tells
-            # nothing of their changes.
-            self._update(target, upstream)
+            # The directory forgets services that are no longer asked for and
+            # does not announce their changes.
+            self._update_target(target, upstream)
             target = self.targets.get(upstream.id)
         if target is None:
             target = targets.Target(upstream, clock.now())
             target.pacer = self.pacer
             self.targets[upstream.id] = target
-            # Answers of a life that went on elsewhere may still come.
+            # Reports of an incarnation on another host may still arrive.
             self.board.renew(upstream.id, upstream.incarnation)
         return target
 
@@ -129,16 +129,16 @@
         size: float,
         first: bool,
     ) -> Choice | None:
-        """Return the upstream to offer a request to.
+        """Choose the upstream to which a request is offered next.
 
-        :param tried: upstreams that were asked.
-        :param refused: those of them at which it might wait.
-        :param need: what the request needs.
+        :param tried: upstreams that were offered the request.
+        :param refused: those of them at which it could wait.
+        :param need: the request's deadline and goal.
         :param route: key of its route.
-        :param size: bytes of its body.
-        :param first: whether no upstream was asked so far.
-        :return: None when there is none that was not tried, or none worth
-            more than one that refused.
+        :param size: size of its body, bytes.
+        :param first: whether it was offered to no upstream so far.
+        :return: None when no untried upstream is left, or none where the
+            request is worth more than at one that refused it.
         """
         routing = self.routing()
         usable = {
--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -136,7 +136,7 @@
     """
     lines = [
         {
-            'event': 'gateway: An answer broke off.',
+            'event': 'gateway: Answer interrupted.',
             'host': 'h1',
             'id': 'a',
             'timestamp': '1970-01-01T00:00:01.500000Z',
@@ -154,7 +154,7 @@
     assert main.main(['explain', 'a', str(path)]) == 0
     told = capsys.readouterr().out.splitlines()
     assert len(told) == 4
-    assert 'An answer broke off. caller left' in told[1]
+    assert 'Answer interrupted. caller left' in told[1]
 
 
 def test_every_event_has_a_sentence():
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -355,7 +355,7 @@
             fleet.nodes[1].announce()
             first = (await early).status
             fleet.nodes[1].announce('gone')
-            await asyncio.sleep(startup.SETTLE_S)
+            await asyncio.sleep(startup.STARTUP_S)
             loop = asyncio.get_running_loop()
             began = loop.time()
             later = (await fleet.ask('/read/a')).status
@@ -552,7 +552,10 @@
         return found
 
     assert asyncio.run(scenario()) == 1000
-    assert service._node_limits().silence_s == send_attempts.SILENCE_S
+    assert (
+        service._node_limits().silence_s
+        == send_attempts.UNACKNOWLEDGED_TIMEOUT_S
+    )
 
 
 @pytest.mark.parametrize('error', [ConnectionResetError, KeyError])
@@ -595,7 +598,7 @@
                 raise ConnectionResetError('of another connection')
 
             node = fleet.nodes[0]
-            node.service.dispatcher.client.exchange = broken
+            node.service.dispatcher.client.send = broken
             answer = await fleet.ask('/read/a', Caraway_Request_Id='r1')
             return answer.status, [e['event'] for e in node.events_of('r1')]
 
--- a/test/test_gateway_leaving.py
+++ b/test/test_gateway_leaving.py
@@ -54,7 +54,7 @@
         async with _sent() as (attempt, gateway):
             assert gateway.recv(4096)
             gateway.sendall(hops.INTERIM)
-            attempt.leave()
+            attempt.abandon()
             await asyncio.sleep(0.05)
             gateway.settimeout(1.0)
             return gateway.recv(4096)
@@ -66,11 +66,11 @@
     """Symptom: open connections add up.  Sequence: a caller leaves, and the
     gateway never closes.  Cause: an end that is waited for without limit.
     """
-    monkeypatch.setattr(send_attempts, 'PART_S', 0.05)
+    monkeypatch.setattr(send_attempts, 'CLOSE_TIMEOUT_S', 0.05)
 
     async def scenario():
         async with _sent() as (attempt, _gateway):
-            attempt.leave()
+            attempt.abandon()
             transport = attempt.connection.proto.transport
             await asyncio.sleep(0.15)
             assert transport is None or transport.is_closing()
--- a/test/test_gateway_lifetimes.py
+++ b/test/test_gateway_lifetimes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from carawaystair import clock
-from carawaystair.gateway import upstream_pool as knowns
+from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
 from carawaystair.load import placing
 from carawaystair import routing as routings
@@ -235,16 +235,16 @@
     async def scenario():
         async with fleets.running(None, fleets.fail) as fleet:
             await fleet.ask('/read/a')
-            work = fleet.nodes[1].service.executor
+            executor = fleet.nodes[1].service.executor
             name = fleet.nodes[1].upstream.name
-            before = work.report(name)
-            budget = work.budgets.of('portal')
+            before = executor.report(name)
+            budget = executor.retry_budgets.of('portal')
             fleet.nodes[1].announce(incarnation=9, slots=2)
-            after = work.report(name)
+            after = executor.report(name)
             board = fleet.nodes[0].service.pool.board
             view = board.views.get(name)
             ejected = fleet.nodes[0].service.ejected('portal')
-            kept = work.budgets.of('portal') is budget
+            kept = executor.retry_budgets.of('portal') is budget
             return before, after, view and view.report, ejected, kept
 
     before, after, seen, ejected, kept = pipes.run(scenario())
@@ -315,7 +315,7 @@
 
 def caller(directory):
     """Return what a node knows of upstreams."""
-    return knowns.UpstreamPool(
+    return upstream_pool.UpstreamPool(
         'a',
         directory,
         lambda: routings.Routing(rows.NONE, {}),
--- a/test/test_gateway_links.py
+++ b/test/test_gateway_links.py
@@ -68,19 +68,19 @@
         service='portal',
         caller_service='shop',
         route='/read/',
-        left_ms=8000,
+        remaining_ms=8000,
         goal_ms=4000,
         priority=0,
         idempotent=True,
-        inner=False,
-        stays=True,
+        nested=False,
+        may_wait=True,
         repeat=False,
-        echo=False,
-        number=1,
+        caller_repeated=False,
+        send_number=1,
         process='',
     )
     began = loop.time()
-    line = hops.line(hop)
+    line = hops.header_line(hop)
     writer.write(b'GET /read/10 HTTP/1.1\r\nHost: x\r\n%b\r\n' % line)
     try:
         first, _headers = await setups.read_head(reader)
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -14,7 +14,7 @@
 def test_full_gateway_refuses_at_once_and_another_one_serves():
     """Symptom: requests wait although another upstream is free.
     Sequence: one upstream has a slot taken; the next request meets it.
-    Cause: load is known at the gateway alone, so it must say so at once.
+    Cause: load is nested at the gateway alone, so it must say so at once.
     """
 
     async def scenario():
@@ -214,12 +214,12 @@
 
 def test_calls_have_the_rank_of_the_request_that_waits_for_them():
     budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
-    known = nested_calls.NestedCalls(nesting.Payer(budgets))
-    known.began('a', 's', 2, False)
-    assert known.parent('a.1') == 'a'
-    assert known.rank('a.1', 1) == 2
-    assert known.rank('a.1', 3) == 3
-    assert known.rank('b.1', 1) == 1
-    known.ended('a')
-    assert known.parent('a.1') == ''
-    assert known.rank('a.1', 1) == 1
+    nested = nested_calls.NestedCalls(nesting.Payer(budgets))
+    nested.run_started('a', 's', 2, False)
+    assert nested.running_parent('a.1') == 'a'
+    assert nested.rank('a.1', 1) == 2
+    assert nested.rank('a.1', 3) == 3
+    assert nested.rank('b.1', 1) == 1
+    nested.run_ended('a')
+    assert nested.running_parent('a.1') == ''
+    assert nested.rank('a.1', 1) == 1
--- a/test/test_gateway_pacer.py
+++ b/test/test_gateway_pacer.py
@@ -15,13 +15,13 @@
     """
 
     async def send(pacer, done, number):
-        way = pacer.way('other')
+        throttle = pacer.throttle('other')
         try:
-            async for _piece in way.pieces(b'x' * SIZE):
+            async for _chunk in throttle.chunks(b'x' * SIZE):
                 pass
             done.append(number)
         finally:
-            way.end()
+            throttle.close()
 
     async def scenario():
         loop = asyncio.get_running_loop()
@@ -55,6 +55,8 @@
 
     async def scenario():
         pacer = pacers.Pacer('own', MBPS)
-        return pacer.way('own'), pacers.Pacer('own', 0.0).way('other')
+        return pacer.throttle('own'), pacers.Pacer('own', 0.0).throttle(
+            'other'
+        )
 
     assert fakes.run(scenario()) == (pacers.UNTHROTTLED, pacers.UNTHROTTLED)
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -168,7 +168,9 @@
 
 def repeats(fleet):
     """Return how many repeats gateways counted, and how many upstreams got."""
-    budgets = [n.service.executor.budgets.of('portal') for n in fleet.nodes]
+    budgets = [
+        n.service.executor.retry_budgets.of('portal') for n in fleet.nodes
+    ]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
     counted = sum(budget.total_repeats for budget in budgets)
     return counted, len(ids) - len(set(ids))
--- a/test/test_gateway_resuming.py
+++ b/test/test_gateway_resuming.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(0.5)
             began = loop.time()
             for life in fleet.nodes[1].service.executor.instances.values():
-                life.slots.refuse_all('leaving')
+                life.slots.refuse_waiting('leaving')
             fleet.nodes[1].service.executor.stopping = True
             answer = await asking
             filling.cancel()
--- a/test/test_gateway_runs.py
+++ b/test/test_gateway_runs.py
@@ -55,7 +55,7 @@
     the caller leaves.  Cause: with the refusal, the run in progress was
     forgotten, so that nobody could cancel it.
     """
-    monkeypatch.setattr(runs, 'KEEP_SHORT_S', 0.02)
+    monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
     monkeypatch.setattr(runs, 'KEEP_S', 0.02)
     ended = []
 
@@ -72,9 +72,9 @@
         loop.set_exception_handler(lambda _loop, what: wrong.append(what))
         here = _runs()
         with contextlib.suppress(slots.Refused):
-            await here.once(_hop(1, idempotent), _refuse, lambda: False)
+            await here.run_once(_hop(1, idempotent), _refuse, lambda: False)
         waiting = asyncio.create_task(
-            here.once(_hop(2, idempotent), work, lambda: False)
+            here.run_once(_hop(2, idempotent), work, lambda: False)
         )
         await asyncio.sleep(0.1)
         waiting.cancel()
@@ -92,7 +92,7 @@
     the refusal is forgotten, the connection is lost, asked for again.
     Cause: the run in progress was forgotten with the refusal.
     """
-    monkeypatch.setattr(runs, 'KEEP_SHORT_S', 0.02)
+    monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
     began = []
     answer = types.SimpleNamespace(rest=None)
 
@@ -104,13 +104,13 @@
     async def scenario():
         here = _runs()
         with contextlib.suppress(slots.Refused):
-            await here.once(_hop(1, True), _refuse, lambda: False)
+            await here.run_once(_hop(1, True), _refuse, lambda: False)
         first = asyncio.create_task(
-            here.once(_hop(2, True), work, lambda: True)
+            here.run_once(_hop(2, True), work, lambda: True)
         )
         await asyncio.sleep(0.1)
-        again = _hop(3, True)._replace(again=True)
-        second = await here.once(again, work, lambda: False)
+        again = _hop(3, True)._replace(resumed=True)
+        second = await here.run_once(again, work, lambda: False)
         return await first, second
 
     assert asyncio.run(scenario()) == (answer, answer)
@@ -129,24 +129,24 @@
         found = _runs()
         hop = _hop(1, False)
         first = asyncio.ensure_future(
-            found.once(hop, lambda: asyncio.sleep(10), lambda: False)
+            found.run_once(hop, lambda: asyncio.sleep(10), lambda: False)
         )
         await asyncio.sleep(0.01)
         first.cancel()
         await asyncio.sleep(0.01)
-        again = hop._replace(again=True, number=2)
-        return await found.once(again, _refuse, lambda: False)
+        again = hop._replace(resumed=True, send_number=2)
+        return await found.run_once(again, _refuse, lambda: False)
 
     with pytest.raises((answers.Failed, slots.Refused)) as told:
         asyncio.run(scenario())
-    assert told.value.reason in hops.UNSURE
+    assert told.value.reason in hops.MAY_HAVE_RUN
 
 
 def test_refusal_after_a_run_that_was_forgotten_promises_nothing(monkeypatch):
     """Guards against not-run for a repeatable request that ran before it was
     asked for again.
     """
-    monkeypatch.setattr(runs, 'KEEP_SHORT_S', 0.02)
+    monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
     answer = types.SimpleNamespace(rest=None)
 
     async def work():
@@ -154,13 +154,13 @@
 
     async def scenario():
         here = _runs()
-        first = await here.once(_hop(1, True), work, lambda: True)
+        first = await here.run_once(_hop(1, True), work, lambda: True)
         await asyncio.sleep(0.1)
-        again = _hop(2, True)._replace(again=True)
+        again = _hop(2, True)._replace(resumed=True)
         with pytest.raises(slots.Refused) as told:
-            await here.once(again, _refuse, lambda: False)
+            await here.run_once(again, _refuse, lambda: False)
         return first, told.value.reason
 
     first, reason = asyncio.run(scenario())
     assert first is answer
-    assert reason in hops.UNSURE
+    assert reason in hops.MAY_HAVE_RUN
--- a/test/test_gateway_transit.py
+++ b/test/test_gateway_transit.py
@@ -76,7 +76,7 @@
             )
             await hand_over(first)
             await asyncio.sleep(1.2)
-            held_up = first._replace(number=2, again=True)
+            held_up = first._replace(send_number=2, resumed=True)
             said = await hand_over(held_up)
             return said, [seen.line for seen in fleet.runs]
 
@@ -90,7 +90,7 @@
     """Hand a request over on a connection of its own; return the answer."""
     reader, writer = await asyncio.open_connection('127.0.0.1', 7001)
     head = b'GET /read/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n'
-    writer.write(head + hops.line(hop) + b'\r\n')
+    writer.write(head + hops.header_line(hop) + b'\r\n')
     return await reader.read()
 
 
@@ -119,23 +119,26 @@
 
 HOP = hops.Hop(
     'a', 'h', 'u', 's', 'c', 'r', 900, 500, 0, True, False, False, False,
-    False, 1, 'p', sent_ms=10_000, patience_ms=150,
+    False, 1, 'p', sent_ms=10_000, sender_timeout_ms=150,
 )  # fmt: skip
 
 
 def test_time_left_ages():
     assert transit.deduct_transit_time(HOP, 10_000) == HOP
     late = transit.deduct_transit_time(HOP, 10_100)
-    assert (late.left_ms, late.goal_ms) == (800, 400)
+    assert (late.remaining_ms, late.goal_ms) == (800, 400)
     # A clock that is a little behind makes nothing younger.
     assert transit.deduct_transit_time(HOP, 9_990) == HOP
     assert transit.deduct_transit_time(HOP, 10_151) is None
     assert (
-        transit.deduct_transit_time(HOP._replace(left_ms=80), 10_100) is None
+        transit.deduct_transit_time(HOP._replace(remaining_ms=80), 10_100)
+        is None
     )
     # Of an older version, which does not say when it was sent.
     assert (
-        transit.deduct_transit_time(HOP._replace(sent_ms=0), 99_999).left_ms
+        transit.deduct_transit_time(
+            HOP._replace(sent_ms=0), 99_999
+        ).remaining_ms
         == 900
     )
 
@@ -172,9 +175,9 @@
 
 def test_clocks_of_many_processes_take_bounded_memory():
     clocks = transit.ClockOffsets()
-    for number in range(2 * transit.MOST):
+    for number in range(2 * transit.MAX_CLOCKS):
         clocks.of('h', 'p%d' % number).observe(0, number)
-    assert len(clocks.clocks) == transit.MOST
+    assert len(clocks.by_process) == transit.MAX_CLOCKS
     assert clocks.of('h', 'unknown').to_remote(5) == 0
 
 
--- a/test/test_gateway_unresponsive.py
+++ b/test/test_gateway_unresponsive.py
@@ -98,37 +98,37 @@
     assert pipes.run(scenario()) == (200, True, 0)
 
 
-class Question:
+class ScriptedAttempt:
     """One question of a scripted sender."""
 
     def __init__(self, number: int) -> None:
-        self.hop = types.SimpleNamespace(number=number)
-        self.helper = False
-        self.sign_s = 0.0
+        self.hop = types.SimpleNamespace(send_number=number)
+        self.via_detour = False
+        self.first_sign_timeout_s = 0.0
         self.sent = True
         self.result = asyncio.get_running_loop().create_future()
-        self.taken_back = False
+        self.was_reset = False
 
-    def take_back(self) -> None:
+    def reset(self) -> None:
         """Take note that it is given up."""
-        self.taken_back = True
+        self.was_reset = True
 
 
-class Asks:
+class ScriptedSender:
     """Sends questions whose answers a test decides."""
 
     def __init__(self) -> None:
-        self.questions = [Question(1)]
-        self.signs = None
+        self.attempts = [ScriptedAttempt(1)]
+        self.observer = None
 
-    def again(self, trip, lost, detour):
+    def resume_attempt(self, dispatch, lost, detour):
         """Return a further question."""
-        self.questions.append(Question(len(self.questions) + 1))
-        return self.questions[-1]
+        self.attempts.append(ScriptedAttempt(len(self.attempts) + 1))
+        return self.attempts[-1]
 
-    async def answer(self, trip, target, attempt, signs):
+    async def answer(self, dispatch, target, attempt, observer):
         """Answer what the test decides."""
-        self.signs = signs
+        self.observer = observer
         return await asyncio.shield(attempt.result)
 
 
@@ -136,23 +136,23 @@
     """Run a scenario with a request whose first question is in doubt."""
 
     async def run():
-        asks = Asks()
+        sender = ScriptedSender()
         call = types.SimpleNamespace(id='a', deadline=clock.now() + 9.0)
         upstream = types.SimpleNamespace(id='u', state='up')
-        trip = types.SimpleNamespace(call=call, hurry=None)
+        dispatch = types.SimpleNamespace(call=call, hedge_early=None)
         target = types.SimpleNamespace(upstream=upstream)
         resumption = resuming.Resumption(
-            asks,
-            trip,
+            sender,
+            dispatch,
             dispatches.LostConnection(target, 'p', False),
             math.inf,
             decisions.Recorder('h'),
         )
         asking = asyncio.ensure_future(
-            resumption.answer(asks.questions[0], None)
+            resumption.answer(sender.attempts[0], None)
         )
         await asyncio.sleep(0.01)
-        return await scenario(asks, asking, upstream)
+        return await scenario(sender, asking, upstream)
 
     return pipes.run(run())
 
@@ -160,8 +160,8 @@
 def test_refusal_of_an_older_question_is_no_promise():
     """Guards against 503 not-run for a request that a newer question runs."""
 
-    async def scenario(asks, asking, _upstream):
-        old, new = asks.questions
+    async def scenario(sender, asking, _upstream):
+        old, new = sender.attempts
         old.result.set_exception(dispatches.Declined('busy', None))
         await asyncio.sleep(0.05)
         assert not asking.done()
@@ -172,12 +172,12 @@
 
 
 def test_refusal_of_the_newest_question_counts():
-    async def scenario(asks, asking, _upstream):
-        old, new = asks.questions
+    async def scenario(sender, asking, _upstream):
+        old, new = sender.attempts
         new.result.set_exception(dispatches.Declined('busy', None))
         with pytest.raises(dispatches.Declined):
             await asking
-        return old.taken_back
+        return old.was_reset
 
     assert resumed(scenario)
 
@@ -185,13 +185,13 @@
 def test_sign_of_life_ends_the_other_questions():
     """Guards against an answer that crosses a full link twice."""
 
-    async def scenario(asks, asking, _upstream):
-        old, new = asks.questions
-        asks.signs.seen(old)
+    async def scenario(sender, asking, _upstream):
+        old, new = sender.attempts
+        sender.observer.on_sign_of_life(old)
         await asyncio.sleep(1.0)
-        assert len(asks.questions) == 2
+        assert len(sender.attempts) == 2
         old.result.set_result('answer')
-        return await asking, old.taken_back, new.taken_back
+        return await asking, old.was_reset, new.was_reset
 
     assert resumed(scenario) == ('answer', False, True)
 
@@ -201,32 +201,34 @@
     waiting for a host that has died until the deadline.
     """
 
-    async def scenario(asks, asking, upstream):
+    async def scenario(sender, asking, upstream):
         for _ in range(20):
-            for question in list(asks.questions):
-                asks.signs.doubted(question)
+            for attempt in list(sender.attempts):
+                sender.observer.on_silence(attempt)
             await asyncio.sleep(0.1)
-        asked = len(asks.questions)
+        asked = len(sender.attempts)
         upstream.state = 'gone'
         with pytest.raises(answers.Failed):
-            await asyncio.wait_for(asking, 2 * resuming.GONE_S)
+            await asyncio.wait_for(asking, 2 * resuming.GONE_TIMEOUT_S)
         return asked
 
-    assert resumed(scenario) == resuming.MOST_OPEN
+    assert resumed(scenario) == resuming.MAX_OPEN_ATTEMPTS
 
 
 def test_answer_that_is_here_is_not_dropped_for_a_sign_of_another():
     """Guards against dropping an answer for a sign of life of another."""
 
-    async def scenario(asks, asking, _upstream):
-        old, new = asks.questions
+    async def scenario(sender, asking, _upstream):
+        old, new = sender.attempts
         new.result.set_result('answer')
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        asks.signs.seen(old)
+        sender.observer.on_sign_of_life(old)
         # For a long answer, q1 is told that it was passed on before.
         old.result.set_exception(
-            answers.Failed('error', codes.ANSWER_LOST, True, hops.PASSED_ON)
+            answers.Failed(
+                'error', codes.ANSWER_LOST, True, hops.ALREADY_STREAMED
+            )
         )
         return await asyncio.wait_for(asking, 5.0)
 
@@ -236,20 +238,20 @@
 def test_later_questions_do_not_wait_for_ever_longer():
     """Guards against a patience that grows without a bound."""
 
-    async def scenario(asks, asking, upstream):
-        asks.questions[0].result.set_exception(
+    async def scenario(sender, asking, upstream):
+        sender.attempts[0].result.set_exception(
             answers.Failed('broken', codes.ANSWER_LOST, True)
         )
         for _ in range(12):
             await asyncio.sleep(0.36)
-            result = asks.questions[-1].result
+            result = sender.attempts[-1].result
             if not result.done():
                 result.set_exception(
                     answers.Failed('refused', codes.CONNECT_FAILED, False)
                 )
         await asyncio.sleep(0.2)
         asking.cancel()
-        return max(q.sign_s for q in asks.questions)
+        return max(q.first_sign_timeout_s for q in sender.attempts)
 
     assert resumed(scenario) < 3.0
 
@@ -257,11 +259,11 @@
 def test_second_answer_does_not_break_a_connection_that_was_given_back():
     """Guards against a reset of a connection that others use by now."""
 
-    async def scenario(asks, asking, upstream):
-        old, new = asks.questions
+    async def scenario(sender, asking, upstream):
+        old, new = sender.attempts
         old.result.set_result('answer')
         new.result.set_result('answer')
         await asking
-        return old.taken_back, new.taken_back
+        return old.was_reset, new.was_reset
 
     assert resumed(scenario) == (False, False)
--- a/test/test_kept_connections.py
+++ b/test/test_kept_connections.py
@@ -118,7 +118,7 @@
                 raise error('of another connection')
 
             node = fleet.nodes[0].service
-            monkeypatch.setattr(node.dispatcher.client, 'exchange', broken)
+            monkeypatch.setattr(node.dispatcher.client, 'send', broken)
             return await fleet.ask('/read/a')
 
     answer = pipes.run(scenario())
