--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -1,4 +1,4 @@
-"""Requests between nodes with gateways: what callers and upstreams see."""
+"""Requests between nodes with gateways, as callers and upstreams see them."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 from test import request_setup as setups
 
 
-def test_request_reaches_upstream_with_the_deployments_headers():
+def test_upstream_receives_request_with_the_configured_headers():
     async def scenario():
         async with fleets.running(None, fleets.serve) as fleet:
             answer = await fleet.ask(
@@ -28,28 +28,28 @@
             )
             return answer, fleet.runs, fleet.nodes[0].events_of('abc')
 
-    answer, runs, story = pipes.run(scenario())
+    answer, runs, events = pipes.run(scenario())
     assert (answer.status, answer.body) == (200, b'u9001')
     assert runs[0].line == 'GET /read/x?y=1 HTTP/1.1'
-    told = runs[0].headers
-    assert told['caraway-request-id'] == 'abc'
-    assert told['caraway-upstream'] == 'u9001'
-    assert told['caraway-caller-service'] == 'shop'
-    assert 850 < int(told['caraway-deadline-ms']) <= 900
-    assert [event['event'] for event in story] == ['offered', 'answered']
+    received = runs[0].headers
+    assert received['caraway-request-id'] == 'abc'
+    assert received['caraway-upstream'] == 'u9001'
+    assert received['caraway-caller-service'] == 'shop'
+    assert 850 < int(received['caraway-deadline-ms']) <= 900
+    assert [event['event'] for event in events] == ['offered', 'answered']
 
 
 @pytest.mark.parametrize('moment', [0.05, 0.3], ids=['sent', 'running'])
-def test_lost_connection_does_not_lose_the_answer_nor_run_it_twice(moment):
-    """Symptom: a payout was made, its caller is told that nobody knows.
-    Sequence: the connection between two nodes is lost silently while the
-    request runs.
-    Cause: the answer returns on the lost connection only.
+def test_lost_connection_neither_loses_the_answer_nor_runs_it_twice(moment):
+    """Guards against an unknown outcome for a request that was run.
+
+    The connection between two nodes is lost silently while the request runs,
+    and its answer returns on that connection only.
     """
 
     async def scenario():
         async with fleets.running(None, fleets.slow(1.5), None) as fleet:
-            # One request before it, so that the nodes know each other.
+            # A first request, so that the nodes know each other.
             await fleet.ask('/read/warm')
             asking = asyncio.ensure_future(
                 fleet.ask('/pay/x', 'POST', body=b'pay')
@@ -64,10 +64,10 @@
     assert lines.count('POST /pay/x HTTP/1.1') == 1
 
 
-async def leave_only_the_way_round(fleet, monkeypatch) -> None:
-    """Cut the way from the first node to the second one's gateway.
+async def leave_only_a_detour(fleet, monkeypatch) -> None:
+    """Cut the path from the first node to the second one's gateway.
 
-    The upstream of the third node leaves, so that it serves as a way only.
+    The upstream of the third node leaves, so that it is only a detour.
     """
     connect = connections.connect
     for _ in range(4):
@@ -75,25 +75,26 @@
     fleet.nodes[2].announce('draining')
     cut = fleet.nodes[0].service.pool.targets['u9001']
 
-    async def connect_unless_cut(target, until, *patience):
+    async def connect_unless_cut(target, until, *timeouts):
         if target == cut:
             raise TimeoutError
-        return await connect(target, until, *patience)
+        return await connect(target, until, *timeouts)
 
     monkeypatch.setattr(connections, 'connect', connect_unless_cut)
     asyncio.get_running_loop().silence(fleet.nodes[1].gateway)
 
 
-def test_way_that_is_cut_is_gone_round_through_a_third_node(monkeypatch):
-    """Symptom: a payout fails though its upstream is well.
-    Sequence: packets from one host to another are lost, both reach others.
-    Cause: the only way that was tried is the direct one.
+def test_broken_path_is_replaced_by_a_detour(monkeypatch):
+    """Guards against failed requests whose upstream is healthy.
+
+    Packets between two hosts are lost while both reach all other hosts, and
+    only the direct path is tried.
     """
 
     async def scenario():
         scripts = (None, fleets.slow(0.3), fleets.serve)
         async with fleets.running(*scripts) as fleet:
-            await leave_only_the_way_round(fleet, monkeypatch)
+            await leave_only_a_detour(fleet, monkeypatch)
             answer = await fleet.ask('/pay/x', 'POST', body=b'pay')
             return answer, [seen.line for seen in fleet.runs]
 
@@ -103,18 +104,18 @@
 
 
 def test_broken_connection_on_a_detour_does_not_cancel_the_run(monkeypatch):
-    """A payout that ran was broken off, and its caller told that nobody knows.
+    """Guards against an unknown outcome for a request that was running.
 
-    It went through a third node, and the connection between the caller's
-    node and that one broke.  The third node closed its own connection to the
-    gateway in the normal way, which means that the caller has left: the
-    gateway cancelled the run that the caller's node asked for again.
+    It took a detour, and the connection between the caller's node and the
+    third node broke.  If the third node then closes its own connection in the
+    orderly way, the gateway assumes that the caller has left and cancels the
+    run, which the caller's node is about to resume.
     """
 
     async def scenario():
         scripts = (None, fleets.slow(1.5), fleets.serve)
         async with fleets.running(*scripts) as fleet:
-            await leave_only_the_way_round(fleet, monkeypatch)
+            await leave_only_a_detour(fleet, monkeypatch)
             asking = asyncio.ensure_future(
                 fleet.ask('/pay/x', 'POST', body=b'pay')
             )
@@ -132,11 +133,11 @@
     assert lines.count('POST /pay/x HTTP/1.1') == 1
 
 
-def test_gateway_that_started_again_says_that_it_does_not_know():
-    """Symptom: a payout runs twice.
-    Sequence: the gateway's process dies while the request runs and a new one
-    is asked for it.
-    Cause: the new process has no memory of the run and takes it for new.
+def test_restarted_gateway_reports_an_unknown_outcome():
+    """Guards against a non-idempotent request that runs twice.
+
+    The gateway's process dies while the request runs, and the new process is
+    asked to resume it.  Without memory of the run it would take it for new.
     """
 
     async def scenario():
@@ -146,9 +147,9 @@
                 fleet.ask('/pay/x', 'POST', body=b'pay')
             )
             await asyncio.sleep(0.3)
-            door = fleet.nodes[1].service.hop_handler
+            hop_handler = fleet.nodes[1].service.hop_handler
             fleet.nodes[1].membership.incarnation += 1000
-            door.runs.runs.clear()
+            hop_handler.runs.runs.clear()
             asyncio.get_running_loop().silence(fleet.nodes[1].gateway)
             answer = await asking
             return answer, [seen.line for seen in fleet.runs]
@@ -158,10 +159,11 @@
     assert lines.count('POST /pay/x HTTP/1.1') == 1
 
 
-def test_caller_that_leaves_frees_the_upstream():
-    """Symptom: upstreams work for callers that have long gone.
-    Sequence: a caller closes its connection while its request runs.
-    Cause: the leaving must cross two hops and close the last connection.
+def test_caller_that_leaves_frees_the_slot():
+    """Guards against runs for callers that have left.
+
+    A caller closes its connection while its request runs.  The close has to
+    cross two hops and end the connection to the upstream.
     """
 
     async def scenario():
@@ -172,16 +174,17 @@
             busy = fleet.nodes[1].service.executor.slots['u9001'].queue.running
             writer.close()
             await asyncio.sleep(0.3)
-            line = fleet.nodes[1].service.executor.slots['u9001'].queue
-            return busy, line.running
+            queue = fleet.nodes[1].service.executor.slots['u9001'].queue
+            return busy, queue.running
 
     assert pipes.run(scenario()) == (1, 0)
 
 
-def test_draining_upstream_gets_no_new_work_from_the_acknowledgement_on():
-    """Symptom: requests reach an upstream that has said it leaves.
-    Sequence: it says so; other nodes have not heard of it yet.
-    Cause: the gateway itself must hold work back, not only those who choose.
+def test_draining_upstream_gets_no_new_work_after_the_acknowledgement():
+    """Guards against requests that reach an upstream that is leaving.
+
+    The upstream has announced it, but other nodes do not know yet, so that
+    the gateway itself has to refuse new work.
     """
 
     async def scenario():
@@ -197,18 +200,20 @@
     assert (answer.status, answer.outcome, runs) == (503, 'not-run', 1)
 
 
-def test_second_answer_to_an_earlier_request_is_passed_over():
-    """Symptom: a caller gets the answer to somebody else's request.
-    Sequence: an upstream sends a second answer when the next request is
-    already on the connection.
-    Cause: only the id in the answer tells whose it is.
+def test_second_answer_to_an_earlier_request_is_skipped():
+    """Guards against callers that get the answer to another request.
+
+    An upstream answers a request twice, and the second answer arrives when
+    the next request is on the connection.  Only its id shows which it is.
     """
 
     async def script(upstream, seen, writer):
-        name = seen.headers['caraway-request-id']
-        if name == 'two':
+        request_id = seen.headers['caraway-request-id']
+        if request_id == 'two':
             writer.write(fleets.good(b'one again', Caraway_Request_Id='one'))
-        answer = fleets.good(name.encode(), Caraway_Request_Id=name)
+        answer = fleets.good(
+            request_id.encode(), Caraway_Request_Id=request_id
+        )
         writer.write(answer)
 
     async def scenario():
@@ -220,7 +225,7 @@
     assert pipes.run(scenario()) == (b'one', b'two', 1)
 
 
-def test_answer_without_a_receipt_is_no_success():
+def test_answer_without_a_receipt_is_a_failure():
     async def script(upstream, seen, writer):
         writer.write(setups.reply(b'whatever'))
 
@@ -232,7 +237,7 @@
     assert (answer.status, answer.outcome) == (502, 'unknown')
 
 
-def test_answer_without_length_is_whole_when_its_connection_is_closed():
+def test_answer_without_length_is_complete_when_its_connection_closes():
     async def script(upstream, seen, writer):
         writer.write(b'HTTP/1.1 200 OK\r\nX-Receipt: r\r\n\r\nall of it')
         writer.close()
@@ -245,10 +250,11 @@
     assert (answer.status, answer.body) == (200, b'all of it')
 
 
-def test_promise_without_its_mark_is_not_passed_on():
-    """Symptom: a caller repeats a payout that was made.
-    Sequence: an upstream answers 503 after it ran a request.
-    Cause: 503 tells callers that the request was not run.
+def test_not_run_status_without_the_not_run_header_is_not_forwarded():
+    """Guards against callers that repeat a request that was run.
+
+    An upstream answers 503 after it ran a request, but 503 tells callers that
+    it was not run.
     """
 
     async def script(upstream, seen, writer):
@@ -262,10 +268,11 @@
     assert (answer.status, answer.outcome) == (502, 'unknown')
 
 
-def test_stop_cuts_nothing_and_takes_requests_until_callers_have_left():
-    """Symptom: answers are cut off when a node stops.
-    Sequence: the node is told to stop; its callers notice two seconds later.
-    Cause: it must serve them until then, and finish what it has.
+def test_stop_completes_requests_and_accepts_new_ones_while_callers_leave():
+    """Guards against answers that are cut off when a node stops.
+
+    Callers notice the stop two seconds later.  Until then the node has to
+    serve them, and after that to complete what it has begun.
     """
 
     async def scenario():
@@ -283,10 +290,10 @@
     assert pipes.run(scenario()) == (200, 200)
 
 
-def test_stop_whose_time_is_over_answers_what_is_left():
-    """Symptom: callers of a node that stopped hear nothing.
-    Sequence: an answer takes longer than the node has to stop.
-    Cause: its connections are closed without a word.
+def test_stop_answers_remaining_callers_when_the_drain_time_is_over():
+    """Guards against closed connections without an answer.
+
+    An answer takes longer than the node's drain time.
     """
 
     async def scenario():
@@ -304,10 +311,10 @@
     assert (answer.status, answer.outcome) == (504, 'unknown')
 
 
-def test_long_answers_pass_whole_and_a_cut_one_never_looks_whole():
+def test_long_answers_arrive_complete_and_a_cut_one_never_looks_complete():
     body = bytes(range(256)) * 4096
 
-    async def whole(upstream, seen, writer):
+    async def complete(upstream, seen, writer):
         writer.write(fleets.good(body))
 
     async def cut(upstream, seen, writer):
@@ -318,16 +325,16 @@
     async def scenario(script):
         async with fleets.running(None, script) as fleet:
             answer = await fleet.ask('/read/a')
-            line = fleet.nodes[1].service.executor.slots['u9001'].queue
-            return answer, line.running
+            queue = fleet.nodes[1].service.executor.slots['u9001'].queue
+            return answer, queue.running
 
-    answer, running = pipes.run(scenario(whole))
+    answer, running = pipes.run(scenario(complete))
     assert (answer.body, answer.ended, running) == (body, True, 0)
     answer, running = pipes.run(scenario(cut))
     assert (answer.ended, running) == (False, 0)
 
 
-def test_long_bodies_pass_unchanged():
+def test_long_bodies_arrive_unchanged():
     body = bytes(range(256)) * 2048
 
     async def scenario():
@@ -339,11 +346,11 @@
 
 
 def test_requests_right_after_a_start_wait_for_the_upstreams():
-    """Symptom: every request is rejected for two seconds after a restart of
-    the whole fleet.
-    Sequence: callers are back at once; upstreams announce themselves again
-    within their interval.
-    Cause: what is not known yet is taken for what does not exist.
+    """Guards against requests refused for two seconds after a restart of all
+    processes.
+
+    Callers return at once, while upstreams announce themselves again within
+    their interval.  What is unknown must not be taken not to exist.
     """
 
     async def scenario():
@@ -410,7 +417,7 @@
     ],
     ids=['long', 'malformed', 'both lengths', 'two lengths', 'dots'],
 )
-def test_odd_requests_are_refused_without_harm_to_others(data, status):
+def test_malformed_requests_are_refused_and_affect_no_others(data, status):
     async def scenario():
         async with fleets.running(fleets.serve) as fleet:
             reader, writer = await asyncio.open_connection('127.0.0.1', 8000)
@@ -422,7 +429,7 @@
     assert pipes.run(scenario()) == (status, 200, 1)
 
 
-def test_half_a_request_is_let_go_within_the_limit():
+def test_incomplete_request_is_dropped_after_the_header_timeout():
     limits = manifest.Limits(header_timeout_ms=500)
 
     async def scenario():
@@ -441,13 +448,12 @@
 
 
 @pytest.mark.parametrize('method', ['GET', 'POST'])
-def test_requests_with_one_id_get_each_its_own_answer(method):
-    """Two callers, or one that asks twice, use the same id.
+def test_requests_with_the_same_id_get_their_own_answers(method):
+    """Guards against the answer to another request, or a failure.
 
-    Symptom: the answer to another request, or a failure of the proxy.
-    Sequence: a request runs; another one with its id meets the same
-    gateway.  Cause: the gateway takes it for a question for the first one,
-    as it would be after a lost connection.
+    Two callers use the same id, or one uses it twice, and both requests meet
+    at one gateway.  It must not join the second to the run of the first, as
+    it does when a request is resumed after a lost connection.
     """
 
     async def own(upstream, seen, writer):
@@ -473,7 +479,7 @@
     assert {answer.status for answer in found} == {200}
 
 
-def test_split_keeps_its_shares():
+def test_traffic_split_keeps_its_shares():
     share = manifest.Share
     split = (share('portal', 9), share('other', 1))
     routes = (manifest.Route('/read/', split=split, idempotent=True),)
@@ -488,7 +494,7 @@
     assert found.count(503) == 10
 
 
-def test_malformed_hop_is_refused_without_harm():
+def test_malformed_hop_is_refused_and_affects_no_others():
     async def scenario():
         async with fleets.running(None, fleets.serve) as fleet:
             reader, writer = await asyncio.open_connection('127.0.0.1', 7001)
@@ -505,7 +511,7 @@
     assert status == 200
 
 
-def test_lines_of_a_second_are_bounded_and_what_is_left_out_is_counted(
+def test_log_lines_per_second_are_bounded_and_omitted_ones_are_counted(
     monkeypatch,
 ):
     lines = fleets.LogLines()
@@ -516,7 +522,7 @@
         recorder.tell(decisions.Left('r%d' % number, 1, 1, 'caller'))
     now[0] += 1_000
     recorder.tell(decisions.Left('last', 1, 1, 'caller'))
-    # Other lines of a process are a few a second.
+    # The other lines of a process are only a few a second.
     assert sum(decisions.ROOM.values()) <= 46
     assert len(lines.lines) == decisions.ROOM[decisions.ROUTINE] + 1
     last = fleets.fakes.json.loads(lines.lines[-1])
@@ -524,10 +530,11 @@
 
 
 def test_connections_between_nodes_break_when_nothing_is_acknowledged():
-    """Symptom: a request runs seconds after its caller has left.
-    Sequence: it waits at a gateway; its caller leaves; the close is lost on
-    the way between the two nodes.
-    Cause: the gateway's connection stays open for minutes.
+    """Guards against requests that run seconds after their callers left.
+
+    A request waits at a gateway and its caller leaves, but the end of the
+    connection between the nodes is lost.  By default the gateway's connection
+    would stay open for minutes.
     """
 
     async def scenario():
@@ -560,10 +567,14 @@
 
 @pytest.mark.parametrize('error', [ConnectionResetError, KeyError])
 @pytest.mark.parametrize('method', ['GET', 'POST'])
-def test_defect_at_the_gateway_is_answered_at_once(error, method, monkeypatch):
-    """An error at the gateway beside the upstream closed the connection of
-    the node that had asked, which took it for lost and asked again and again:
-    5.03 s for a request that may run once, until its time was over.
+def test_exception_at_the_gateway_is_answered_at_once(
+    error, method, monkeypatch
+):
+    """Guards against requests that are resumed until their deadlines.
+
+    When an exception closed the connection between two nodes, the caller's
+    node took it for lost and resumed the request: 5.03 s for one that was
+    not idempotent.
     """
 
     async def scenario():
@@ -572,8 +583,8 @@
             async def broken(*_arguments):
                 raise error('of another connection')
 
-            work = fleet.nodes[1].service.executor
-            monkeypatch.setattr(work, '_send', broken)
+            executor = fleet.nodes[1].service.executor
+            monkeypatch.setattr(executor, '_send', broken)
             began = asyncio.get_running_loop().time()
             body = b'x' if method == 'POST' else b''
             path = '/pay/a' if method == 'POST' else '/read/a'
@@ -586,9 +597,9 @@
     assert took < 1.0
 
 
-def test_request_that_met_a_defect_is_told_as_answered():
-    """A caller that was answered 500 stood in the log as one that had left,
-    and was missing among the answers.
+def test_request_that_met_an_exception_is_logged_as_answered():
+    """Guards against requests that are answered with 500 but logged as if
+    the caller had left.
     """
 
     async def scenario():
--- a/test/test_gateway_crashing.py
+++ b/test/test_gateway_crashing.py
@@ -11,28 +11,28 @@
 from test import gateway_setup as fleets
 from test import pipes
 
-# An upstream is back so long after it crashed, seconds.
+# Time after which a crashed upstream is back, seconds.
 DOWN_S = 2.0
-# A request crashes an upstream so long after it began, seconds.
+# Time after which a request crashes its upstream, seconds.
 CRASH_S = 0.08
 WORK_S = 0.3
-# A body that nodes do not hold.
+# Size of a body that nodes do not buffer.
 LONG_BYTES = 100_000
-# The beginning of an answer that is passed on as it comes.
-BEGUN = (
+# The beginning of an answer that is streamed.
+ANSWER_START = (
     b'HTTP/1.1 200 X\r\nX-Receipt: r\r\nContent-Length: 400000\r\n\r\n'
     + b'x' * 200_000
 )
-# What is known of a request is known everywhere after so long, seconds.
-CONTACT_S = 3.0
+# Time after which facts about a request are known on all nodes, seconds.
+DISSEMINATION_S = 3.0
 # Upstreams that a request crashes before it is refused, and sends that may
-# reach one after that is known everywhere.
+# reach an upstream after all nodes know of that.
 LIMIT = 3
-MOST_LATER = 3
+MAX_LATER = 3
 
 
-class Stage:
-    """A fleet whose upstreams crash under some requests.
+class CrashScenario:
+    """A fleet whose upstreams crash when they run certain requests.
 
     :param fleet: the fleet.
     """
@@ -41,32 +41,32 @@
         self.fleet = fleet
         self.rng = random.Random(1)
         self.restarting: set[asyncio.Task] = set()
-        # When each upstream crashed, and when a request that crashes one
-        # reached one.
+        # When upstreams crashed.
         self.crashed: list[float] = []
         # Whether upstreams crash whatever they run.
         self.all_crash = False
+        # When requests that crash upstreams reached one.
         self.reached: list[float] = []
         for node in fleet.nodes:
             if node.upstream is not None:
                 node.upstream.script = self.script
 
     async def script(self, upstream, seen, writer) -> None:
-        """Work, or crash when the path says so."""
+        """Work, or crash if the path says so."""
         if 'crash' not in seen.line and not self.all_crash:
             await asyncio.sleep(WORK_S)
             writer.write(fleets.good(upstream.name.encode()))
             return
         self.reached.append(clock.now())
-        life = upstream.crashes
+        crashes = upstream.crashes
         if 'download' in seen.line:
-            writer.write(BEGUN)
+            writer.write(ANSWER_START)
         await asyncio.sleep(CRASH_S)
-        if upstream.crashes == life:
+        if upstream.crashes == crashes:
             self.crash(upstream)
 
     def crash(self, upstream) -> None:
-        """Crash an upstream; another process starts in its place."""
+        """Crash an upstream and start a new process in its place."""
         self.crashed.append(clock.now())
         upstream.crash()
         task = asyncio.ensure_future(self._restart(upstream))
@@ -80,7 +80,7 @@
         node.announce()
 
     async def ask(self, path: str, method: str = 'GET'):
-        """Ask any node; return its answer."""
+        """Send a request to a random node; return its answer."""
         node = self.rng.randrange(len(self.fleet.nodes))
         body = b'x' if method == 'POST' else b''
         if path.endswith('/long'):
@@ -90,9 +90,9 @@
         return None
 
     async def keep_asking(self, path: str, seconds: float, pause_s: float):
-        """Ask again and again; return the answers.
+        """Send requests at intervals; return the answers.
 
-        :param path: with a place for the number of the request.
+        :param path: path with a placeholder for the number of the request.
         """
         method = 'POST' if path.startswith('/pay/') else 'GET'
         asking = []
@@ -103,8 +103,8 @@
         return await asyncio.gather(*asking)
 
 
-def later(times: list[float], since: float) -> int:
-    """Return how many times lie behind another one."""
+def count_after(times: list[float], since: float) -> int:
+    """Return how many of the times are after another one."""
     return sum(when > since for when in times)
 
 
@@ -112,27 +112,27 @@
     'path',
     ['/read/crash', '/pay/crash', '/pay/crash/long', '/read/crash/download'],
 )
-def test_request_that_crashed_three_upstreams_reaches_no_more(path):
-    """Guards against a request that ends one upstream after the other."""
+def test_request_that_crashed_three_upstreams_reaches_no_others(path):
+    """Guards against a request that crashes one upstream after another."""
 
     async def scenario():
         async with fleets.running(*[fleets.serve] * 8) as fleet:
-            stage = Stage(fleet)
-            sound = asyncio.ensure_future(
-                stage.keep_asking('/read/%d', 25.0, 0.1)
+            crashes = CrashScenario(fleet)
+            harmless = asyncio.ensure_future(
+                crashes.keep_asking('/read/%d', 25.0, 0.1)
             )
             await asyncio.sleep(1.0)
-            await stage.keep_asking(path, 20.0, 0.5)
-            return stage, await sound
+            await crashes.keep_asking(path, 20.0, 0.5)
+            return crashes, await harmless
 
-    stage, sound = pipes.run(scenario())
-    known_at = stage.crashed[LIMIT - 1] + CONTACT_S
-    assert later(stage.reached, known_at) <= MOST_LATER
-    assert [answer.status for answer in sound[-150:]] == [200] * 150
+    crashes, harmless = pipes.run(scenario())
+    known_at = crashes.crashed[LIMIT - 1] + DISSEMINATION_S
+    assert count_after(crashes.reached, known_at) <= MAX_LATER
+    assert [answer.status for answer in harmless[-150:]] == [200] * 150
 
 
-def refused(answers) -> int:
-    """Return how many answers refuse a request for crashes under it."""
+def refused_count(answers) -> int:
+    """Return how many requests were refused because they crash upstreams."""
     code = codes.CRASHES_UPSTREAMS.label
     return sum(
         answer.headers.get('caraway-code') == code for answer in answers
@@ -140,68 +140,70 @@
 
 
 @pytest.mark.parametrize('path', ['/read/crash', '/pay/crash'])
-def test_requests_that_ran_beside_one_that_crashes_are_served(path):
-    """Guards against sound requests refused for the company they kept."""
+def test_requests_that_ran_next_to_a_crashing_one_are_served(path):
+    """Guards against harmless requests that are refused for having run on
+    the same upstream.
+    """
 
     async def scenario():
         async with fleets.running(*[fleets.serve] * 8) as fleet:
-            stage = Stage(fleet)
-            sound = asyncio.gather(
-                stage.keep_asking('/read/%d', 25.0, 0.05),
-                stage.keep_asking('/read/popular', 25.0, 0.2),
-                stage.keep_asking('/pay/%d', 25.0, 0.2),
+            crashes = CrashScenario(fleet)
+            harmless = asyncio.gather(
+                crashes.keep_asking('/read/%d', 25.0, 0.05),
+                crashes.keep_asking('/read/popular', 25.0, 0.2),
+                crashes.keep_asking('/pay/%d', 25.0, 0.2),
             )
             await asyncio.sleep(1.0)
-            crashing = await stage.keep_asking(path, 20.0, 0.5)
-            return crashing, sum(await sound, [])
+            crashing = await crashes.keep_asking(path, 20.0, 0.5)
+            return crashing, sum(await harmless, [])
 
-    crashing, sound = pipes.run(scenario())
-    assert refused(crashing) > len(crashing) / 2
+    crashing, harmless = pipes.run(scenario())
+    assert refused_count(crashing) > len(crashing) / 2
     assert {answer.status for answer in crashing[-10:]} == {503}
-    assert refused(sound) == 0
+    assert refused_count(harmless) == 0
 
 
-def test_requests_are_served_whose_upstreams_crash_for_another_cause():
-    """Guards against sound requests refused for crashes that they met."""
+def test_requests_are_served_while_upstreams_crash_for_other_reasons():
+    """Guards against harmless requests that are refused for such crashes."""
 
     async def scenario():
         async with fleets.running(*[fleets.serve] * 8) as fleet:
-            stage = Stage(fleet)
-            sound = asyncio.gather(
-                stage.keep_asking('/read/%d', 30.0, 0.05),
-                stage.keep_asking('/read/popular', 30.0, 0.05),
+            crashes = CrashScenario(fleet)
+            harmless = asyncio.gather(
+                crashes.keep_asking('/read/%d', 30.0, 0.05),
+                crashes.keep_asking('/read/popular', 30.0, 0.05),
             )
-            for _spell in range(6):
+            for _round in range(6):
                 await asyncio.sleep(4.0)
-                for node in stage.rng.sample(fleet.nodes, 4):
-                    stage.crash(node.upstream)
-            return stage, sum(await sound, [])
+                for node in crashes.rng.sample(fleet.nodes, 4):
+                    crashes.crash(node.upstream)
+            return crashes, sum(await harmless, [])
 
-    stage, sound = pipes.run(scenario())
-    assert len(stage.crashed) == 24
-    assert refused(sound) == 0
+    crashes, harmless = pipes.run(scenario())
+    assert len(crashes.crashed) == 24
+    assert refused_count(harmless) == 0
 
 
-def test_reset_connections_are_no_crash():
-    """Guards against requests refused for connections lost on their way."""
+def test_reset_connections_are_not_taken_for_crashes():
+    """Guards against requests refused for connections that were lost."""
 
     async def scenario():
         async with fleets.running(*[fleets.serve] * 4) as fleet:
-            stage = Stage(fleet)
-            sound = asyncio.ensure_future(
-                stage.keep_asking('/read/popular', 10.0, 0.05)
+            crashes = CrashScenario(fleet)
+            harmless = asyncio.ensure_future(
+                crashes.keep_asking('/read/popular', 10.0, 0.05)
             )
             loop = asyncio.get_running_loop()
             for number in range(9):
                 await asyncio.sleep(1.0)
                 loop.reset(fleet.nodes[number % 4].upstream.port)
-            await sound
+            await harmless
             return [node.quarantine.listing() for node in fleet.nodes]
 
     assert pipes.run(scenario()) == [[]] * 4
 
 
-def test_upstream_that_leaves_is_no_crash():
+def test_upstream_that_leaves_is_not_taken_for_a_crash():
     async def scenario():
         async with fleets.running(None, fleets.slow(0.5)) as fleet:
             upstream = fleet.nodes[1].upstream
@@ -216,18 +218,18 @@
     assert pipes.run(scenario()) == []
 
 
-def test_crash_in_the_middle_of_a_long_answer_counts():
-    """Guards against a download that ends one upstream after the other."""
+def test_crash_during_a_long_answer_counts():
+    """Guards against a download that crashes one upstream after another."""
 
-    async def begin_and_crash(upstream, _seen, writer):
-        writer.write(BEGUN)
+    async def start_and_crash(upstream, _seen, writer):
+        writer.write(ANSWER_START)
         await asyncio.sleep(0.2)
         upstream.crash()
 
     async def scenario():
         async with fleets.running(None, fleets.serve) as fleet:
             await fleet.ask('/read/warm')
-            fleet.nodes[1].upstream.script = begin_and_crash
+            fleet.nodes[1].upstream.script = start_and_crash
             with contextlib.suppress(asyncio.IncompleteReadError):
                 await fleet.ask('/read/long')
             await asyncio.sleep(1.0)
@@ -237,8 +239,8 @@
     assert suspect.upstreams == ('u9001/1',)
 
 
-def test_crash_behind_which_another_upstream_starts_at_once_counts():
-    """Guards against a crash unseen because its address answers again."""
+def test_crash_counts_although_the_upstream_restarts_at_once():
+    """Guards against unnoticed crashes when the address answers again."""
 
     async def scenario():
         async with fleets.running(None, fleets.slow(0.5)) as fleet:
@@ -260,44 +262,47 @@
     assert [suspect.upstreams for suspect in after] == [('u9001/1',)]
 
 
-def test_caller_is_told_at_once_and_logs_tell_why():
+def test_caller_is_refused_at_once_and_the_log_gives_the_reason():
     async def scenario():
         async with fleets.running(*[fleets.serve] * 4) as fleet:
-            stage = Stage(fleet)
-            await stage.keep_asking('/read/%d', 2.0, 0.1)
-            await stage.keep_asking('/read/crash', 3.0, 0.5)
+            crashes = CrashScenario(fleet)
+            await crashes.keep_asking('/read/%d', 2.0, 0.1)
+            await crashes.keep_asking('/read/crash', 3.0, 0.5)
             began = clock.now()
             answer = await fleet.ask('/read/crash')
             took_s = clock.now() - began
             node = fleet.nodes[0]
-            (told,) = node.events_of(answer.headers['caraway-request-id'])
-            return answer, took_s, told, node.quarantine.listing()
+            (event,) = node.events_of(answer.headers['caraway-request-id'])
+            return answer, took_s, event, node.quarantine.listing()
 
-    answer, took_s, told, (suspect,) = pipes.run(scenario())
+    answer, took_s, event, (suspect,) = pipes.run(scenario())
     assert (answer.status, answer.outcome) == (503, codes.NOT_RUN)
     assert answer.code == codes.CRASHES_UPSTREAMS.label
     assert float(answer.headers['retry-after']) > 30
     assert took_s < 0.01
-    assert told['digest'] == suspect.digest
-    assert all(name in told['detail'] for name in suspect.upstreams)
+    assert event['digest'] == suspect.digest
+    assert all(name in event['detail'] for name in suspect.upstreams)
+
 
+def test_no_request_stays_refused_after_a_release_that_crashed_at_all():
+    """Guards against an outage that outlasts its cause.
 
-def test_release_that_crashes_at_everything_leaves_no_request_refused():
-    """Guards against an outage that lasts on once its cause is mended."""
+    A release of the upstream crashes at every request and is then replaced.
+    """
 
     async def scenario():
         async with fleets.running(*[fleets.serve] * 8) as fleet:
-            stage = Stage(fleet)
-            sound = asyncio.gather(
-                stage.keep_asking('/read/popular', 30.0, 0.1),
-                stage.keep_asking('/read/%d', 30.0, 0.1),
+            crashes = CrashScenario(fleet)
+            harmless = asyncio.gather(
+                crashes.keep_asking('/read/popular', 30.0, 0.1),
+                crashes.keep_asking('/read/%d', 30.0, 0.1),
             )
             await asyncio.sleep(5.0)
-            stage.all_crash = True
+            crashes.all_crash = True
             await asyncio.sleep(14.0)
-            stage.all_crash = False
-            return stage, sum(await sound, [])
+            crashes.all_crash = False
+            return crashes, sum(await harmless, [])
 
-    stage, sound = pipes.run(scenario())
-    assert len(stage.crashed) > 24
-    assert refused(sound) == 0
+    crashes, harmless = pipes.run(scenario())
+    assert len(crashes.crashed) > 24
+    assert refused_count(harmless) == 0
--- a/test/test_gateway_leaving.py
+++ b/test/test_gateway_leaving.py
@@ -1,4 +1,4 @@
-"""How a node tells a gateway that a caller has left."""
+"""Connections to gateways when a caller leaves."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 @contextlib.asynccontextmanager
 async def _sent():
-    """Yield a send, and the socket of the gateway that it reached."""
+    """Yield an attempt that was sent, and the gateway's socket."""
     with socket.create_server(('127.0.0.1', 0)) as server:
         attempt = _attempt('127.0.0.1:%d' % server.getsockname()[1])
         await attempt.connect()
@@ -40,14 +40,13 @@
             yield attempt, gateway
 
 
-def test_leave_is_a_close_also_when_signs_were_not_read():
-    """A caller leaves; its gateway must take it for that.
+def test_abandoned_attempt_is_closed_even_with_unread_interim_answers():
+    """Guards against runs for callers that left, which take slots of others.
 
-    Symptom: requests of callers that left are run, up to seconds later, and
-    their slots are taken from others.  Sequence: a request waits at its
-    gateway, which sends signs; the caller leaves while a sign lies unread.
-    Cause: the system answers a close with unread bytes by a reset, which the
-    gateway takes for an accident after which it is asked again.
+    A request waits at its gateway, which sends interim answers, and the
+    caller leaves while one is unread.  The operating system answers a close
+    with unread data by a reset, which the gateway would take for a broken
+    connection after which the request is resumed.
     """
 
     async def scenario():
@@ -62,9 +61,11 @@
     assert asyncio.run(scenario()) == b''
 
 
-def test_left_connection_ends_although_the_gateway_keeps_it_open(monkeypatch):
-    """Symptom: open connections add up.  Sequence: a caller leaves, and the
-    gateway never closes.  Cause: an end that is waited for without limit.
+def test_abandoned_connection_ends_even_if_the_gateway_keeps_it_open(
+    monkeypatch,
+):
+    """Guards against open connections that add up when gateways never close
+    them.
     """
     monkeypatch.setattr(send_attempts, 'CLOSE_TIMEOUT_S', 0.05)
 
--- a/test/test_gateway_lifetimes.py
+++ b/test/test_gateway_lifetimes.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, behind gateways."""
+"""Upstreams that restart under the same id, behind gateways."""
 
 import asyncio
 import random
@@ -15,33 +15,33 @@
 from test import gateway_setup as fleets
 from test import pipes
 
-# What an upstream does with requests, by what stands in their path.
+# How long an upstream hangs when the path asks for it, seconds.
 HANG_S = 60.0
 
 
 async def serve_or_hang(upstream, seen, writer):
-    """Answer at once, or never when the path says so."""
+    """Answer at once, or hang if the path says so."""
     if 'hang' in seen.line:
         await asyncio.sleep(HANG_S)
     writer.write(fleets.good(upstream.name.encode()))
 
 
-def paths(fleet):
+def paths_run(fleet):
     """Return the paths of the requests that upstreams ran."""
     return [seen.line.split()[1] for seen in fleet.runs]
 
 
-def told(node, name):
+def events_named(node, name):
     """Return the events of one name in a node's log."""
     lines = [fakes.json.loads(line) for line in node.lines.lines]
     return [line for line in lines if line['event'] == name]
 
 
-def test_kept_connections_end_with_the_life():
-    """Symptom: a payout is sent on a connection of a life that has ended.
-    Sequence: an upstream answers on a kept connection, starts again, and is
-    asked at once.
-    Cause: connections were kept with the id.
+def test_kept_connections_end_with_the_instance():
+    """Guards against requests sent on connections of an ended instance.
+
+    An upstream answers on a kept connection, restarts, and gets the next
+    request at once.
     """
 
     async def scenario():
@@ -60,36 +60,35 @@
     assert (gone, after, status) == (before, before + 1, 200)
 
 
-def test_connection_in_use_is_not_kept_for_the_next_life():
-    """Symptom: as above.
-    Sequence: a request runs while the upstream's new life is announced, its
-    answer is read whole, the next request follows.
-    Cause: its connection was given back to the new life.
+def test_connection_in_use_is_not_kept_for_the_next_instance():
+    """Guards against requests sent on connections of an ended instance.
+
+    A request runs while the upstream's next instance is announced; its answer
+    is read whole, and the next request follows.
     """
 
     async def scenario():
         async with fleets.running(None, fleets.slow(0.5)) as fleet:
             upstream = fleet.nodes[1].upstream
-            born = clock.wall_ms()
+            started_ms = clock.wall_ms()
             await asyncio.sleep(0.05)
             asking = asyncio.create_task(fleet.ask('/read/a'))
             await asyncio.sleep(0.1)
-            fleet.nodes[1].announce(incarnation=born)
+            fleet.nodes[1].announce(incarnation=started_ms)
             first = await asking
             await fleet.ask('/pay/b', 'POST', body=b'x')
-            return first.status, upstream.connections, paths(fleet)
+            return first.status, upstream.connections, paths_run(fleet)
 
     status, connections, ran = pipes.run(scenario())
     assert (status, connections) == (200, 2)
     assert ran == ['/read/a', '/pay/b']
 
 
-def test_run_that_may_run_once_ends_as_unknown_with_its_life():
-    """Symptom: a payout is waited for until its time is over, or is made a
-    second time.
-    Sequence: it runs, its connection goes silent, the upstream starts again
-    under its id.
-    Cause: the run was taken for one of the new life.
+def test_non_idempotent_run_ends_as_unknown_with_its_instance():
+    """Guards against a run that is waited for until its deadline, or repeated.
+
+    The connection of the run goes silent, and the upstream restarts under its
+    id.  The run must not be taken for one of the new instance.
     """
 
     async def scenario():
@@ -105,7 +104,7 @@
             answer = await asking
             took_s = clock.now() - began
             next_one = await fleet.ask('/pay/next', 'POST', body=b'x')
-            return answer, took_s, next_one.status, paths(fleet)
+            return answer, took_s, next_one.status, paths_run(fleet)
 
     answer, took_s, status, ran = pipes.run(scenario())
     assert (answer.status, answer.outcome) == (502, 'unknown')
@@ -114,11 +113,11 @@
     assert ran.count('/pay/hang') == 1
 
 
-def test_question_for_a_run_of_the_former_life_runs_nothing():
-    """Symptom: a payout is made twice.
-    Sequence: it runs; the connection between the nodes is lost, the upstream
-    starts again, and the sender asks its gateway once more.
-    Cause: the new life knows of no run.
+def test_resuming_a_run_of_an_ended_instance_runs_nothing():
+    """Guards against a request that runs twice.
+
+    The connection between the nodes is lost, the upstream restarts, and the
+    sender resumes the request.  The new instance knows of no run.
     """
 
     async def scenario():
@@ -132,17 +131,16 @@
             loop.silence(fleet.nodes[1].gateway)
             fleet.nodes[1].announce(incarnation=clock.wall_ms())
             answer = await asking
-            return answer, paths(fleet)
+            return answer, paths_run(fleet)
 
     answer, ran = pipes.run(scenario())
     assert (answer.status, answer.outcome) == (502, 'unknown')
     assert ran.count('/pay/hang') == 1
 
 
-def test_run_that_may_run_twice_goes_on_elsewhere():
-    """Symptom: a lookup is lost although another upstream is free.
-    Sequence: as above, with a request that may be repeated.
-    Cause: as above.
+def test_idempotent_run_continues_elsewhere():
+    """Guards against an idempotent request that is lost with an instance
+    although another upstream is free.
     """
 
     async def scenario():
@@ -171,10 +169,10 @@
     assert pipes.run(scenario()) == (200, True, 2)
 
 
-def test_requests_that_wait_are_told_not_run_and_go_on():
-    """Symptom: a payout that waits for a slot of a life that ended is lost.
-    Sequence: one runs, one waits, the upstream starts again.
-    Cause: the line was that of the id.
+def test_waiting_requests_are_refused_as_not_run_and_continue():
+    """Guards against losing a request that waits for an ended instance.
+
+    One request runs and one waits when the upstream restarts.
     """
 
     async def scenario():
@@ -190,7 +188,7 @@
             await asyncio.sleep(0.1)
             fleet.nodes[1].announce(incarnation=clock.wall_ms(), slots=1)
             first, second = await asyncio.gather(running, waiting)
-            return first, second, paths(fleet)
+            return first, second, paths_run(fleet)
 
     first, second, ran = pipes.run(scenario())
     assert (first.status, first.outcome) == (502, 'unknown')
@@ -202,34 +200,34 @@
         assert ran.count('/pay/next') == 0
 
 
-def test_run_on_a_connection_of_the_new_life_goes_on():
-    """Symptom: a payout is cut off by the first heartbeat of the life that
-    runs it.
-    Sequence: the upstream starts again; a request reaches it on a new
-    connection before its first heartbeat does.
-    Cause: each run in progress was taken for one of the former life.
+def test_run_on_a_connection_of_the_new_instance_continues():
+    """Guards against a run that is aborted by the first heartbeat of the
+    instance that runs it.
+
+    The upstream restarts, and a request reaches it on a new connection before
+    its first heartbeat arrives.
     """
 
     async def scenario():
         async with fleets.running(None, fleets.slow(1.0)) as fleet:
-            born = clock.wall_ms()
+            started_ms = clock.wall_ms()
             await asyncio.sleep(0.1)
             asking = asyncio.create_task(
                 fleet.ask('/pay/a', 'POST', body=b'x')
             )
             await asyncio.sleep(0.2)
-            fleet.nodes[1].announce(incarnation=born)
+            fleet.nodes[1].announce(incarnation=started_ms)
             answer = await asking
-            return answer.status, paths(fleet)
+            return answer.status, paths_run(fleet)
 
     assert pipes.run(scenario()) == (200, ['/pay/a'])
 
 
-def test_suspicion_durations_and_slots_end_with_the_life():
-    """Symptom: an upstream that has just started gets no work that may run
-    once, or more than it takes, for what its former life did.
-    Sequence: it fails, has other slots, starts again.
-    Cause: what was believed was kept with the id.
+def test_failures_durations_and_slots_end_with_the_instance():
+    """Guards against a restarted upstream that gets no non-idempotent
+    requests, or more than it has slots for, because of its previous instance.
+
+    The upstream fails, changes its number of slots and restarts.
     """
 
     async def scenario():
@@ -255,14 +253,17 @@
     assert (seen, ejected, kept) == (None, frozenset(), True)
 
 
-def test_life_that_ends_and_begins_is_told():
+def test_start_and_end_of_an_instance_are_logged():
     async def scenario():
         async with fleets.running(None, fleets.serve) as fleet:
             await fleet.ask('/read/a')
             fleet.nodes[1].announce(incarnation=9)
             fleet.nodes[1].membership.registry.remove('u9001', 9)
             node = fleet.nodes[1]
-            return told(node, 'life-began'), told(node, 'life-ended')
+            return (
+                events_named(node, 'life-began'),
+                events_named(node, 'life-ended'),
+            )
 
     began, ended = pipes.run(scenario())
     assert [line['incarnation'] for line in began] == [1, 9]
@@ -275,11 +276,11 @@
 REPORT = placing.Report('p', True, 3, 2, 5, 900, 400, 10)
 
 
-def test_report_of_a_former_life_is_not_the_new_ones():
-    """Symptom: an upstream that has just started is taken for full and gray.
-    Sequence: a gateway answers for the former life; on its way the answer is
-    overtaken by the news of the new one.
-    Cause: a report named the upstream and not its life.
+def test_report_of_an_ended_instance_does_not_count_for_the_next():
+    """Guards against a restarted upstream that is taken for full and failing.
+
+    A gateway reports on the previous instance, and the announcement of the
+    new one arrives before the report.
     """
     board = placing.Board(random.Random(1))
     board.heard('a', REPORT._replace(incarnation=5), 1.0)
@@ -293,8 +294,8 @@
     assert board.view('a').report == fresh
 
 
-def test_report_of_a_new_life_ends_what_was_known():
-    """The gateway may know of the new life before the directory does."""
+def test_report_of_a_new_instance_replaces_what_was_known():
+    """The gateway may know the new instance before the directory does."""
     board = placing.Board(random.Random(1))
     board.heard('a', REPORT._replace(incarnation=5), 1.0)
     former = board.view('a')
@@ -313,8 +314,8 @@
     )._replace(**changes)
 
 
-def caller(directory):
-    """Return what a node knows of upstreams."""
+def make_pool(directory):
+    """Return the upstream pool of a caller's node."""
     return upstream_pool.UpstreamPool(
         'a',
         directory,
@@ -323,60 +324,61 @@
     )
 
 
-def test_new_life_is_cold_at_callers_nodes():
-    """Symptom: an upstream that has just started gets the work of a warm one.
-    Sequence: it was known for long, starts again, says that it is slow.
-    Cause: its age was that of the id.
+def test_new_instance_is_cold_at_callers_nodes():
+    """Guards against a restarted upstream that gets the load of a warm one.
+
+    It was known for long, restarts, and announces a warm-up time.
     """
 
     async def _run():
         first = upstream(warmup_s=3.0)
         directory = fakes.Directory(first)
-        known = caller(directory)
-        target = known.target(first)
+        pool = make_pool(directory)
+        target = pool.target(first)
         await asyncio.sleep(10.0)
-        assert not known._candidate(first, clock.now()).cold
+        assert not pool._candidate(first, clock.now()).cold
         second = upstream(incarnation=9, warmup_s=3.0)
         directory.put(second)
-        assert known._candidate(second, clock.now()).cold
+        assert pool._candidate(second, clock.now()).cold
         return target
 
     fakes.run(_run())
 
 
-@pytest.mark.parametrize('told_first', [True, False])
-def test_id_that_moves_leaves_its_way_behind(told_first):
-    """Symptom: a payout runs at two hosts.
-    Sequence: it is handed to the gateway of one host, the id moves to
-    another host, the connection is lost, the sender asks again.
-    Cause: it asked the gateway of the new life, which knows of no run.
+@pytest.mark.parametrize('announced_first', [True, False])
+def test_id_that_moves_to_another_host_gets_a_new_target(announced_first):
+    """Guards against a request that runs at two hosts.
+
+    It was sent to the gateway of one host, the id moves to another host, the
+    connection is lost, and the sender resumes the request.  The gateway of
+    the new instance knows of no run.
     """
 
     async def _run():
         first = upstream()
         directory = fakes.Directory(first)
-        known = caller(directory)
-        target = known.target(first)
+        pool = make_pool(directory)
+        target = pool.target(first)
         second = upstream(incarnation=9, host='h2', address='127.0.0.1:7002')
-        if told_first:
+        if announced_first:
             directory.put(second)
-        other = known.target(second)
+        other = pool.target(second)
         assert other is not target
         assert target.upstream.state == interfaces.GONE
         assert other.upstream == second
-        # An answer of the former life still comes.
+        # A report on the previous instance arrives late.
         late = REPORT._replace(incarnation=5)
-        known.board.heard('a', late, clock.now())
-        assert known.board.view('a').report is None
+        pool.board.heard('a', late, clock.now())
+        assert pool.board.view('a').report is None
 
     fakes.run(_run())
 
 
-def test_answer_without_length_that_a_new_life_cuts_never_looks_whole():
-    """Symptom: a caller gets half of an answer as a whole one.
-    Sequence: an answer that ends with its connection is on its way, the
-    upstream starts again, the connection is cut.
-    Cause: the end of the connection was taken for that of the answer.
+def test_answer_without_length_that_a_restart_cuts_never_looks_complete():
+    """Guards against a partial answer that looks complete.
+
+    An answer that ends with its connection is on its way when the upstream
+    restarts and the connection is aborted.
     """
 
     async def script(upstream, seen, writer):
@@ -396,22 +398,22 @@
     assert (answer.status, answer.outcome) == (502, 'unknown')
 
 
-def test_end_of_a_former_life_elsewhere_ends_nothing():
-    """Symptom: what a node knows of an upstream is gone.
-    Sequence: an id goes on at another host, for another service; then its
-    former host says that it is gone.
-    Cause: the id was taken for unique.
+def test_end_of_an_earlier_instance_on_another_host_changes_nothing():
+    """Guards against losing what a node knows of an upstream.
+
+    An id continues on another host, for another service; then its former
+    host announces that it is gone.
     """
 
     async def _run():
-        stands = upstream(incarnation=9)
-        directory = fakes.Directory(stands)
-        known = caller(directory)
-        target = known.target(stands)
+        current = upstream(incarnation=9)
+        directory = fakes.Directory(current)
+        pool = make_pool(directory)
+        target = pool.target(current)
         former = upstream(host='h0', service='other', state='gone')
         for callback in directory.callbacks:
             callback(former)
-        assert known.targets == {'a': target}
-        assert target.upstream is stands
+        assert pool.targets == {'a': target}
+        assert target.upstream is current
 
     fakes.run(_run())
--- a/test/test_gateway_links.py
+++ b/test/test_gateway_links.py
@@ -1,4 +1,4 @@
-"""Long bodies on links that carry little, in virtual time."""
+"""Long bodies on links of low bandwidth, in virtual time."""
 
 import asyncio
 import json
@@ -26,14 +26,14 @@
 
 
 async def documents(upstream, seen, writer) -> None:
-    """Answer with as many bytes as the path says, after a while."""
+    """Answer after a while with as many bytes as the path says."""
     size = int(seen.line.split()[1].rpartition('/')[2])
     await asyncio.sleep(0.5 if '/read/' in seen.line else 0.05)
     writer.write(fleets.good(b'%d ' % len(seen.body) + b'x' * size))
 
 
 def running(**options):
-    """Run a node with callers and one with an upstream and a thin link."""
+    """Run a node with callers and one with an upstream and a slow link."""
     loop = asyncio.get_running_loop()
     loop.links[7001] = pipes.Link(BYTES_S)
     loop.callers_links[7001] = pipes.Link(BYTES_S)
@@ -46,18 +46,18 @@
     return fleets.running(None, documents, **options)
 
 
-async def timed(asking, done: list, what) -> setups.Answer:
-    """Ask; note what was asked once it is answered, and how long it took."""
+async def timed(asking, done: list, name) -> setups.Answer:
+    """Wait for an answer; append the request's name and duration."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     answer = await asking
-    done.append((what, loop.time() - began))
+    done.append((name, loop.time() - began))
     return answer
 
 
-async def first_sign_s() -> float:
-    """Hand a request over as a node does; return when its first sign of life
-    is here.
+async def first_interim_s() -> float:
+    """Send a request as a node does; return when the first interim answer
+    arrives, seconds.
     """
     loop = asyncio.get_running_loop()
     reader, writer = await asyncio.open_connection('127.0.0.1', 7001)
@@ -91,47 +91,46 @@
 
 
 def ten_downloads(fleet) -> list[asyncio.Task]:
-    """Ask the first node for ten long answers at once."""
+    """Send requests for ten long answers to the first node at once."""
     return [
         asyncio.ensure_future(fleet.ask('/down/%d' % DOWNLOAD))
         for _ in range(10)
     ]
 
 
-def test_signs_of_life_do_not_stand_behind_downloads():
-    """On links of 5 Mbit/s twelve nodes took a gateway for silent at the same
-    moment and asked again for their requests. It had sent ten answers of 90
-    KB at once, and the signs of life of all other requests stood behind them
-    on its link, for over a second.
+def test_interim_answers_do_not_wait_behind_downloads():
+    """Guards against gateways that seem silent.
+
+    On links of 5 Mbit/s a gateway sent ten answers of 90 KB at once, and the
+    interim answers of all other requests were queued behind them for over a
+    second.  Twelve nodes took it for silent and resumed their requests.
     """
 
     async def scenario():
         async with running() as fleet:
             await fleet.ask('/read/10')
             downloads = ten_downloads(fleet)
-            signs = []
+            interim = []
             for _ in range(8):
                 await asyncio.sleep(0.1)
-                signs.append(await first_sign_s())
+                interim.append(await first_interim_s())
             answers = await asyncio.gather(*downloads)
             resumed = fleet.nodes[0].service.client.resumed
-            told = [json.loads(line) for line in fleet.nodes[1].lines.lines]
-            return signs, answers, resumed, told
+            events = [json.loads(line) for line in fleet.nodes[1].lines.lines]
+            return interim, answers, resumed, events
 
-    signs, answers, resumed, told = pipes.run(scenario())
-    paced = [line for line in told if line['event'] == 'paced']
-    assert {line['bytes'] for line in paced} == {DOWNLOAD + 2}
+    interim, answers, resumed, events = pipes.run(scenario())
+    paced = [event for event in events if event['event'] == 'paced']
+    assert {event['bytes'] for event in paced} == {DOWNLOAD + 2}
     assert paced[-1]['total_ms'] > 1000
-    assert max(signs) < 0.15
+    assert max(interim) < 0.15
     assert resumed == 0
     assert [answer.status for answer in answers] == [200] * 10
     assert {len(answer.body) for answer in answers} == {DOWNLOAD + 2}
 
 
-def test_downloads_are_done_one_after_the_other():
-    """Were ten answers of 90 KB to share a link of 5 Mbit/s, all of them would
-    be late together.
-    """
+def test_downloads_are_sent_one_after_the_other():
+    """If ten answers of 90 KB shared a link of 5 Mbit/s, all would be late."""
 
     async def scenario():
         done: list = []
@@ -149,13 +148,13 @@
     done = pipes.run(scenario())
     assert [number for number, _took in done] == list(range(10))
     for number, took_s in done:
-        # What stands before it at nine tenths of the link, and its run.
+        # Downloads before it at nine tenths of the bandwidth, and its run.
         link_s = (number + 1) * (DOWNLOAD + 1000) / (0.9 * BYTES_S)
         assert took_s < link_s + 0.15
 
 
-def test_short_answer_passes_long_ones():
-    """A short answer waited for every answer of 90 KB before it."""
+def test_short_answer_overtakes_long_ones():
+    """Guards against a short answer that waits for long ones before it."""
 
     async def scenario():
         done: list = []
@@ -171,28 +170,28 @@
 
 
 @pytest.mark.parametrize('size', [300_000, 1_000_000])
-def test_answer_that_is_not_held_whole_leaves_room_too(size):
-    """A single answer that is passed on as it comes filled the link, too."""
+def test_streamed_answer_leaves_bandwidth_to_others(size):
+    """Guards against a single answer that fills the link."""
 
     async def scenario():
         async with running() as fleet:
             await fleet.ask('/read/10')
             download = asyncio.ensure_future(fleet.ask('/down/%d' % size))
-            signs = []
+            interim = []
             for _ in range(3):
                 await asyncio.sleep(0.1)
-                signs.append(await first_sign_s())
-            return signs, await download
+                interim.append(await first_interim_s())
+            return interim, await download
 
-    signs, answer = pipes.run(scenario())
-    assert max(signs) < 0.15
+    interim, answer = pipes.run(scenario())
+    assert max(interim) < 0.15
     assert (answer.status, len(answer.body)) == (200, size + 2)
 
 
 @pytest.mark.parametrize('size', [60_000, 300_000])
-def test_requests_do_not_stand_behind_uploads(size):
-    """Uploads filled the way out of a caller's node: requests that it handed
-    over stood behind them for over a second.
+def test_requests_do_not_wait_behind_uploads(size):
+    """Guards against uploads that fill the link of a caller's node and delay
+    its other requests for over a second.
     """
 
     async def scenario():
@@ -217,9 +216,9 @@
     assert {answer.body for answer in answers} == {b'%d ' % size + b'x' * 10}
 
 
-def test_caller_that_leaves_gives_its_turn_back():
-    """The bytes of ten callers who had given up stood before those of one who
-    stayed, for most of a second.
+def test_caller_that_leaves_returns_its_share_of_the_link():
+    """Guards against an answer that is delayed by those of callers that left:
+    ten of them delayed one for most of a second.
     """
 
     async def scenario():
@@ -231,22 +230,22 @@
             for task in leaving:
                 task.cancel()
             await asyncio.sleep(0.05)
-            await timed(fleet.ask('/down/%d' % DOWNLOAD), done, 'stays')
+            await timed(fleet.ask('/down/%d' % DOWNLOAD), done, 'download')
             await asyncio.sleep(5.0)
-            line = next(
+            queue = next(
                 iter(fleet.nodes[1].service.executor.slots.values())
             ).queue
-            return done[0][1], line.running
+            return done[0][1], queue.running
 
     took_s, running_now = pipes.run(scenario())
-    # Its own bytes, and what was on the link already.
+    # The time for its own bytes and for those that were on the link already.
     assert took_s < DOWNLOAD / (0.9 * BYTES_S) + 0.25
     assert running_now == 0
 
 
-def test_reader_that_stands_still_does_not_hold_up_others():
-    """Were a turn held until its bytes are read, one caller that reads
-    nothing would keep all others from their answers.
+def test_caller_that_does_not_read_does_not_delay_others():
+    """Guards against a turn on the link that is held until its bytes are
+    read.
     """
 
     async def scenario():
@@ -258,16 +257,16 @@
             )
             writer.write(b'GET /down/2000000 HTTP/1.1\r\nHost: x\r\n\r\n')
             await asyncio.sleep(3.0)
-            await timed(fleet.ask('/down/%d' % DOWNLOAD), done, 'reads')
+            await timed(fleet.ask('/down/%d' % DOWNLOAD), done, 'download')
             writer.close()
             return done[0][1]
 
     assert pipes.run(scenario()) < DOWNLOAD / (0.9 * BYTES_S) + 0.3
 
 
-def test_stop_delivers_the_answers_that_wait_for_the_link():
-    """A gateway that stops has answers in hand that its link has not carried
-    yet; they go out within the time that it has.
+def test_stop_delivers_answers_that_wait_for_the_link():
+    """A gateway that stops sends, within its drain time, the answers that its
+    link has not carried yet.
     """
 
     async def scenario():
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -1,4 +1,4 @@
-"""Gateways under load and before gray upstreams: who serves what, and how."""
+"""Placement and queueing at gateways under load and with failing upstreams."""
 
 import asyncio
 import random
@@ -12,9 +12,10 @@
 
 
 def test_full_gateway_refuses_at_once_and_another_one_serves():
-    """Symptom: requests wait although another upstream is free.
-    Sequence: one upstream has a slot taken; the next request meets it.
-    Cause: load is nested at the gateway alone, so it must say so at once.
+    """Guards against requests that wait although another upstream is free.
+
+    Only the gateway knows the load of its upstream, so it must refuse at once
+    when the slot is taken.
     """
 
     async def scenario():
@@ -33,9 +34,9 @@
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once():
-    """Symptom: a request is held until its deadline and then fails.
-    Sequence: the only slot is busy for longer than the deadline.
-    Cause: the expected wait was not held against the deadline.
+    """Guards against requests that are held until their deadlines and fail.
+
+    The only slot is busy for longer than the request's deadline.
     """
 
     async def scenario():
@@ -56,7 +57,7 @@
     assert runs == 1
 
 
-def test_refusal_of_an_upstream_is_tried_elsewhere_and_told_as_not_run():
+def test_request_shed_by_an_upstream_is_retried_elsewhere_or_not_run():
     async def shed(upstream, seen, writer):
         upstream.runs.pop()
         writer.write(setups.reply(b'full', 503, Caraway_Not_Run='1'))
@@ -76,11 +77,12 @@
     assert both == [200, 200, 200]
 
 
-def test_service_that_sheds_a_part_of_its_work_goes_on_serving():
-    """Symptom: nearly all payouts are rejected for nine seconds.
-    Sequence: all upstreams of a service shed a quarter of their requests.
-    Cause: each shed request puts its upstream under suspicion; soon all
-    stand under it, and the gateways refuse what upstreams would take.
+def test_service_that_sheds_a_part_of_its_load_is_still_used():
+    """Guards against rejecting nearly all non-idempotent requests.
+
+    All upstreams of a service shed a quarter of their requests.  If shedding
+    made an upstream suspect, soon all would be, and the gateways would refuse
+    what the upstreams would take.
     """
     rng = random.Random(5)
 
@@ -104,7 +106,7 @@
     assert found.count(200) >= 0.9 * len(found)
 
 
-def test_repeatable_request_that_fails_is_tried_elsewhere():
+def test_idempotent_request_that_fails_is_retried_elsewhere():
     async def scenario():
         async with fleets.running(fleets.fail, fleets.serve) as fleet:
             return [(await fleet.ask('/read/a')).status for _ in range(6)]
@@ -112,12 +114,12 @@
     assert pipes.run(scenario()) == [200] * 6
 
 
-def test_repeat_goes_where_sound_work_was_seen_lately():
-    """Symptom: searches fail although half of the upstreams are sound.
-    Sequence: a search meets a gray upstream; its repeat goes to one that has
-    turned gray, too, since it did its last sound work.
-    Cause: only work that may run once is kept from upstreams of which no
-    sound work was seen lately; a last repeat must not fail either.
+def test_retry_goes_to_an_upstream_that_succeeded_recently():
+    """Guards against idempotent requests that fail although half of the
+    upstreams are healthy.
+
+    A request fails at one upstream, and its retry, which is its last, would
+    go to another that has begun to fail since its last success.
     """
 
     async def scenario():
@@ -132,7 +134,7 @@
         async with fleets.running(*scripts) as fleet:
             for step in range(40):
                 name = 'r%d' % step
-                # Two that fail, one of them with sound work longer ago.
+                # Two upstreams fail; one of them succeeded until recently.
                 turned = step > 10
                 before = len(fleet.nodes[1].upstream.runs)
                 answer = await fleet.ask('/read/a', Caraway_Request_Id=name)
@@ -142,16 +144,16 @@
                     return fleet.nodes[2].events_of(name)
                 await asyncio.sleep(0.5)
 
-    story = pipes.run(scenario())
-    told = [event.get('reason', event['event']) for event in story]
-    assert told == ['began', 'ended']
+    events = pipes.run(scenario())
+    names = [event.get('reason', event['event']) for event in events]
+    assert names == ['began', 'ended']
+
 
+def test_retry_is_not_used_as_a_trial_of_another_suspect():
+    """Guards against requests that fail although healthy upstreams have room.
 
-def test_request_that_failed_is_no_trial_for_another_suspect():
-    """Symptom: calls fail although sound upstreams have room.
-    Sequence: a call is a trial for a gray upstream and fails; its repeat
-    meets another gray one.
-    Cause: the repeat is let through as a trial, too.
+    A request is a trial of a failing upstream and fails, and its retry is let
+    through as a trial of another failing one.
     """
 
     async def scenario():
@@ -164,15 +166,15 @@
             return found
 
     found = pipes.run(scenario())
-    # Both gray ones are unknown to begin with.
+    # Nothing is known of the failing upstreams at first.
     assert found[3:].count(500) == 0
 
 
-def test_wait_for_short_work_is_not_judged_by_long_work():
-    """Symptom: a call is refused or sent to a gray upstream though a sound
-    one would have served it in time.
-    Sequence: upstreams do long work mostly; a short call has little time.
-    Cause: the mean of all work is held against its deadline.
+def test_wait_for_short_requests_is_not_judged_by_long_ones():
+    """Guards against refusing a request that would be served in time.
+
+    Upstreams mostly run long requests; a short one has little time.  The mean
+    service time of all requests must not be compared with its deadline.
     """
 
     async def script(upstream, seen, writer):
@@ -193,10 +195,9 @@
     assert pipes.run(scenario()) == 200
 
 
-def test_work_that_can_not_be_repeated_avoids_an_upstream_that_failed():
-    """Symptom: payouts fail one after another at one upstream.
-    Sequence: it turns gray: fails all, while others are sound.
-    Cause: nobody holds its failures against it.
+def test_non_idempotent_requests_avoid_an_upstream_that_failed():
+    """Guards against requests that fail one after another at one upstream
+    while others are healthy.
     """
 
     async def scenario():
@@ -212,7 +213,7 @@
     assert set(found) <= {200, 500}
 
 
-def test_calls_have_the_rank_of_the_request_that_waits_for_them():
+def test_nested_calls_have_the_priority_of_the_waiting_request():
     budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
     nested = nested_calls.NestedCalls(nesting.Payer(budgets))
     nested.run_started('a', 's', 2, False)
--- a/test/test_gateway_pacer.py
+++ b/test/test_gateway_pacer.py
@@ -1,4 +1,4 @@
-"""Turns on the link of a host, in virtual time."""
+"""Pacing of bodies on the link of a host, in virtual time."""
 
 import asyncio
 
@@ -9,9 +9,9 @@
 SIZE = 90_000
 
 
-def test_caller_that_leaves_at_its_turn_does_not_stop_the_others():
-    """A caller left in the moment in which its answer got its turn, and no
-    answer behind it ever went out.
+def test_caller_that_leaves_at_its_turn_does_not_block_others():
+    """Guards against a turn that is lost, so that no later body is sent, when
+    its waiter is cancelled at the moment of the grant.
     """
 
     async def send(pacer, done, number):
@@ -34,11 +34,11 @@
         await asyncio.sleep(0.01)
         turn_at = pacer.timer.when()
 
-        def be_late():
-            # The process stands still; both happen when it goes on.
+        def suspend():
+            # Both events are handled when the process continues.
             loop.virtual.time = turn_at + 0.001
 
-        loop.call_at(turn_at - 0.002, be_late)
+        loop.call_at(turn_at - 0.002, suspend)
         loop.call_at(turn_at - 0.001, tasks[0].cancel)
         async with asyncio.timeout(5.0):
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -50,8 +50,8 @@
     assert ahead_s == 0.0
 
 
-def test_host_itself_is_not_paced():
-    """What a host sends to itself does not cross its link."""
+def test_traffic_within_a_host_is_not_paced():
+    """It does not use the host's link."""
 
     async def scenario():
         pacer = pacers.Pacer('own', MBPS)
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on repeats where upstreams call other services."""
+"""Retry budgets where upstreams call other services."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 REQUESTS = 1200
 SPACING_S = 0.02
 SPARSE_S = 0.2
-# One request of so many makes a call; the others earn repeats as well.
+# One request in this number makes a call; the others raise the budget only.
 CALLING = 4
 ROUTES = (
     manifest.Route('/pay/', 'portal', idempotent=False),
@@ -26,9 +26,10 @@
 
 
 def arrivals_while_all_callers_fail():
-    """Return when each call arrived, with its id; reads call, then fail.
+    """Return the arrivals of nested calls, as pairs of time and id.
 
-    A call of a second run has the id of that of the first one.
+    Reads make a call and then fail.  A nested call of a second run has the
+    same id as that of the first one.
     """
     arrivals = []
     fleet_of = []
@@ -73,8 +74,8 @@
     return arrivals
 
 
-def test_calls_of_repeated_runs_stay_within_the_bound():
-    """Guards against repeats of one service that flood the one it calls."""
+def test_nested_calls_of_repeated_runs_stay_within_the_budget():
+    """Guards against repeats of one service that overload the one it calls."""
     arrivals = arrivals_while_all_callers_fail()
     seen = set()
     beyond = []
@@ -90,11 +91,13 @@
         assert extra <= RATIO * len(names) + SLACK
 
 
-def arrivals_of_many_callers(sooner):
-    """Return when each call arrived, with its id.  All of three services
-    call a fourth one, and all fail; halfway all nodes start again.
+def arrivals_of_many_callers(first_run_s):
+    """Return the arrivals of nested calls, as pairs of time and id.
 
-    :param sooner: seconds of the first life of the nodes.
+    All requests of three services call a fourth one, and all fail.  Then all
+    nodes restart and the same happens again.
+
+    :param first_run_s: duration before the restart, seconds.
     """
     callers = ('portal', 'shop', 'desk')
     arrivals = []
@@ -111,7 +114,7 @@
         arrivals.append((asyncio.get_running_loop().time(), name))
         await fleets.fail(upstream, seen, writer)
 
-    async def life(name, length_s, options):
+    async def run_fleet(name, length_s, options):
         scripts = [call_and_fail] * 6 + [note] * 2
         async with fleets.running(*scripts, **options) as fleet:
             fleet_of.append(fleet)
@@ -141,15 +144,15 @@
             'retry_ratio': RATIO,
             'retry_slack': LARGE_SLACK,
         }
-        await life('a', sooner, options)
-        await life('b', WINDOW_S, options)
+        await run_fleet('a', first_run_s, options)
+        await run_fleet('b', WINDOW_S, options)
 
     pipes.run(scenario())
     return arrivals
 
 
-def test_three_services_that_call_one_share_its_slack():
-    """Guards against a slack that is spent once by each calling service."""
+def test_services_that_call_the_same_one_share_its_slack():
+    """Guards against a slack that each calling service uses on its own."""
     arrivals = arrivals_of_many_callers(2 * WINDOW_S)
     seen = set()
     beyond = []
@@ -166,8 +169,8 @@
         assert extra <= RATIO * len(names) + LARGE_SLACK
 
 
-def repeats(fleet):
-    """Return how many repeats gateways counted, and how many upstreams got."""
+def repeat_counts(fleet):
+    """Return the repeats that gateways counted and that upstreams received."""
     budgets = [
         n.service.executor.retry_budgets.of('portal') for n in fleet.nodes
     ]
@@ -176,14 +179,14 @@
     return counted, len(ids) - len(set(ids))
 
 
-def refusals(fleet):
-    """Return why gateways refused requests."""
+def refusal_reasons(fleet):
+    """Return the reasons for which gateways refused requests."""
     lines = [json.loads(one) for n in fleet.nodes for one in n.lines.lines]
     return {one['reason'] for one in lines if one['event'] == 'declining'}
 
 
-def test_repeat_whose_calls_can_not_be_paid_leaves_the_slack_to_others():
-    """Guards against repeats that did not begin and used up the slack."""
+def test_repeat_without_budget_for_its_nested_calls_leaves_the_slack():
+    """Guards against repeats that did not start but used up the slack."""
 
     async def scenario():
         scripts = (fleets.fail, fleets.serve, fleets.serve)
@@ -197,15 +200,15 @@
                     payer.counts.called('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
-            return refusals(fleet), repeats(fleet)
+            return refusal_reasons(fleet), repeat_counts(fleet)
 
     reasons, counted = pipes.run(scenario())
     assert 'spent' in reasons
     assert counted == (0, 0)
 
 
-def test_repeat_that_finds_no_slot_leaves_the_slack_to_others():
-    """Guards against a slack that is used up by asking busy gateways."""
+def test_repeat_that_finds_no_slot_leaves_the_slack():
+    """Guards against a slack that is used up by offers to busy gateways."""
 
     async def scenario():
         scripts = (fleets.fail, fleets.slow(1.5), fleets.slow(1.5))
@@ -220,8 +223,8 @@
                 asked.append(asyncio.ensure_future(fleet.ask('/read/a')))
                 await asyncio.sleep(0.2)
             await asyncio.gather(*asked)
-            return refusals(fleet), repeats(fleet)
+            return refusal_reasons(fleet), repeat_counts(fleet)
 
-    reasons, (counted, got) = pipes.run(scenario())
+    reasons, (counted, received) = pipes.run(scenario())
     assert 'busy' in reasons
-    assert counted == got > 0
+    assert counted == received > 0
--- a/test/test_gateway_resuming.py
+++ b/test/test_gateway_resuming.py
@@ -1,4 +1,4 @@
-"""Requests that are asked for again where connections, links or hosts fail."""
+"""Requests that are resumed when connections, links or hosts fail."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     fleets.manifest.Route('/new/', 'portal', idempotent=True, goal_ms=2000),
     fleets.manifest.Route('/other/', 'other', idempotent=True),
 )
-# The third node has an upstream of another service: it only passes on.
+# The third node's upstream is of another service: it only forwards requests.
 THREE = {
     'services': ('portal', 'portal', 'other'),
     'routes': ROUTES,
@@ -22,8 +22,8 @@
 PATHS = [('GET', '/read/x'), ('POST', '/pay/x')]
 
 
-@pytest.mark.parametrize('what', ['queue', 'silence', 'frozen'])
-def test_doubted_request_of_an_unknown_route_goes_elsewhere(what):
+@pytest.mark.parametrize('fault', ['queue', 'silence', 'frozen'])
+def test_request_of_a_new_route_at_a_silent_gateway_goes_elsewhere(fault):
     """Guards against waiting for a silent gateway until the deadline."""
 
     async def scenario():
@@ -46,13 +46,13 @@
             while not first:
                 await asyncio.sleep(0.005)
             port = first[0].port - 2000
-            if what == 'queue':
+            if fault == 'queue':
                 loop.queue(port, 8.0)
-            elif what == 'silence':
+            elif fault == 'silence':
                 loop.silence(port)
                 loop.swallowing.add('127.0.0.1:%d' % port)
             else:
-                # Connections are made, but nothing is said on them.
+                # Connections are made, but nothing arrives on them.
                 loop.silence(port)
                 make = loop.create_connection
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize('queue_s', [0.2, 0.4])
-def test_refusal_counts_where_later_questions_were_never_sent(queue_s):
+def test_refusal_counts_if_later_attempts_were_never_sent(queue_s):
     """Guards against 504 for a request that was refused in time."""
 
     async def script(upstream, seen, writer):
@@ -96,8 +96,8 @@
             )
             await asyncio.sleep(0.5)
             began = loop.time()
-            for life in fleet.nodes[1].service.executor.instances.values():
-                life.slots.refuse_waiting('leaving')
+            for instance in fleet.nodes[1].service.executor.instances.values():
+                instance.slots.refuse_waiting('leaving')
             fleet.nodes[1].service.executor.stopping = True
             answer = await asking
             filling.cancel()
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize('stops', [False, True], ids=['steady', 'stopping'])
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_run_is_found_again_at_a_gateway_that_stops(method, path, stops):
+def test_run_is_resumed_at_a_gateway_that_stops(method, path, stops):
     """Guards against a stop that makes one broken connection final."""
 
     async def scenario():
@@ -147,8 +147,8 @@
 
 
 @pytest.mark.parametrize('method', ['GET', 'POST'])
-def test_helper_that_loses_its_connection_ends_nothing(method):
-    """Guards against taking the word of a third node for the gateway's."""
+def test_third_node_that_loses_its_connection_ends_nothing(method):
+    """Guards against taking the failure of a third node for the gateway's."""
 
     path = '/read/x' if method == 'GET' else '/pay/x'
 
@@ -164,7 +164,7 @@
             loop = asyncio.get_running_loop()
             before = list(loop.made)
             hit = []
-            # Later for the open connection than for new ones.
+            # The open connection is delayed more than new ones.
             loop.queue(7001, 0.8)
             loop.queues['127.0.0.1:7001'] = 0.2
             await asyncio.sleep(0.4)
@@ -185,8 +185,8 @@
 
 
 @pytest.mark.parametrize('method', ['GET', 'POST'])
-def test_long_answer_that_another_question_took_is_not_lost(method):
-    """Guards against breaking off a long answer that is on its way."""
+def test_long_answer_that_went_to_another_attempt_is_not_lost(method):
+    """Guards against aborting a long answer that is on its way."""
 
     path = '/read/x' if method == 'GET' else '/pay/x'
     body = b'y' * 300_000
@@ -202,7 +202,7 @@
         async with fleets.running(None, script, retry_slack=0) as fleet:
             asking = await fleets.ask_until_running(fleet, path, method)
             loop = asyncio.get_running_loop()
-            # Later for the open connection than for new ones.
+            # The open connection is delayed more than new ones.
             loop.queue(7001, 0.6)
             loop.queues['127.0.0.1:7001'] = 0.2
             answer = await asking
@@ -215,8 +215,8 @@
     assert pipes.run(scenario()) == (200, len(body), 1)
 
 
-def test_no_question_storm_while_connections_are_refused():
-    """Guards against asking again without a pause."""
+def test_attempts_are_limited_while_connections_are_refused():
+    """Guards against resuming without a pause."""
 
     async def scenario():
         script = fleets.slow(3.0)
@@ -269,7 +269,9 @@
 @pytest.mark.parametrize('chunked', [False, True])
 @pytest.mark.parametrize('work_s', [0.3, 0.5, 0.7])
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_long_answer_over_a_queue(method, path, work_s, chunked):
+def test_long_answer_arrives_over_a_delayed_link(
+    method, path, work_s, chunked
+):
     """Guards against long answers that get lost on a full link."""
 
     body = b'y' * 300_000
@@ -307,10 +309,10 @@
 
 
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_lost_connection_while_the_way_takes_longer_than_a_connect(
+def test_run_is_resumed_when_the_path_is_slower_than_the_connect_timeout(
     method, path
 ):
-    """Guards against a fixed patience when connections are made again."""
+    """Guards against a fixed timeout when connections are made again."""
 
     async def scenario():
         script = fleets.slow(2.0)
@@ -326,10 +328,8 @@
 
 
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_stopping_gateway_does_not_end_with_a_run_whose_connection_broke(
-    method, path
-):
-    """Guards against a stop that ends before a run is asked for again."""
+def test_stopping_gateway_waits_for_a_run_whose_connection_broke(method, path):
+    """Guards against a stop that ends before a run is resumed."""
 
     async def scenario():
         script = fleets.slow(4.0)
@@ -347,7 +347,7 @@
     assert pipes.run(scenario()) == (200, 1)
 
 
-def test_failure_counts_whichever_question_brings_it():
+def test_failure_counts_whichever_attempt_brings_it():
     """Guards against 504 for a run that failed in time."""
 
     async def script(upstream, seen, writer):
@@ -373,10 +373,10 @@
 @pytest.mark.parametrize('after_s', [0.1, 0.2, 0.3, 0.5, 0.7])
 @pytest.mark.parametrize('queue_s', [0.2, 0.5])
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_run_ends_when_its_caller_leaves_in_doubt(
+def test_run_ends_when_its_caller_leaves_during_resumption(
     method, path, queue_s, after_s
 ):
-    """Guards against runs for nobody, and tasks that are left."""
+    """Guards against runs and tasks that are left over."""
 
     async def scenario():
         script = fleets.slow(4.0)
@@ -414,8 +414,8 @@
     assert pipes.run(scenario()) == (0, 0)
 
 
-def test_lost_idle_connections_are_doubted_together():
-    """Guards against a cut way that each request finds anew."""
+def test_lost_idle_connections_are_closed_together():
+    """Guards against a broken path that each request detects anew."""
 
     async def scenario():
         script = fleets.slow(0.05)
@@ -438,10 +438,8 @@
 
 
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_dead_host_in_the_directory_ends_no_question_that_it_answers(
-    method, path
-):
-    """Guards against giving a run up whose host is only late."""
+def test_host_taken_for_dead_may_still_answer_an_open_attempt(method, path):
+    """Guards against giving up a run whose host is only slow."""
 
     async def scenario():
         script = fleets.slow(0.7)
@@ -459,8 +457,8 @@
 
 
 @pytest.mark.parametrize(('method', 'path'), PATHS)
-def test_connection_that_the_system_gave_up_is_not_listened_to(method, path):
-    """Guards against a loop without end: such an end is a time-out, too."""
+def test_connection_that_the_system_timed_out_is_not_waited_for(method, path):
+    """Guards against an endless loop: its error is a TimeoutError, too."""
 
     async def scenario():
         script = fleets.slow(2.0)
--- a/test/test_gateway_runs.py
+++ b/test/test_gateway_runs.py
@@ -1,4 +1,4 @@
-"""At most one run of a request, and none for nobody."""
+"""Deduplication of requests at the gateway."""
 
 import asyncio
 import contextlib
@@ -44,16 +44,14 @@
 
 
 @pytest.mark.parametrize('idempotent', [True, False])
-def test_request_that_waits_after_a_refusal_ends_with_its_caller(
+def test_waiting_request_ends_with_its_caller_after_a_refusal(
     monkeypatch, idempotent
 ):
-    """A gateway is asked, refuses, and is asked to let the request wait.
+    """Guards against a run for a caller that left, in a slot that others need.
 
-    Symptom: a request is run seconds after its caller left, for nobody, and
-    takes the slot of another one.  Sequence: the gateway refuses it; it
-    comes again and waits; the time for which the refusal is kept is over;
-    the caller leaves.  Cause: with the refusal, the run in progress was
-    forgotten, so that nobody could cancel it.
+    The gateway refuses a request, which is sent again and waits.  The time
+    for which the refusal is kept ends, and then the caller leaves.  If the
+    run was forgotten with the refusal, nobody could cancel it.
     """
     monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
     monkeypatch.setattr(runs, 'KEEP_S', 0.02)
@@ -69,60 +67,61 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         wrong = []
-        loop.set_exception_handler(lambda _loop, what: wrong.append(what))
-        here = _runs()
+        loop.set_exception_handler(lambda _loop, error: wrong.append(error))
+        found = _runs()
         with contextlib.suppress(slots.Refused):
-            await here.run_once(_hop(1, idempotent), _refuse, lambda: False)
+            await found.run_once(_hop(1, idempotent), _refuse, lambda: False)
         waiting = asyncio.create_task(
-            here.run_once(_hop(2, idempotent), work, lambda: False)
+            found.run_once(_hop(2, idempotent), work, lambda: False)
         )
         await asyncio.sleep(0.1)
         waiting.cancel()
         await asyncio.sleep(0.02)
-        # What still runs now would only end with the process.
+        # Runs that are still in progress now would never be cancelled.
         return list(ended), wrong
 
     assert asyncio.run(scenario()) == (['cancelled'], [])
 
 
 def test_run_is_joined_although_an_earlier_refusal_is_forgotten(monkeypatch):
-    """A run must not be doubled by its sender's question for it.
+    """Guards against a request that runs twice at the same time.
 
-    Symptom: one request runs twice at once.  Sequence: refused, sent again,
-    the refusal is forgotten, the connection is lost, asked for again.
-    Cause: the run in progress was forgotten with the refusal.
+    It is refused and sent again, the refusal is forgotten, the connection is
+    lost, and the sender resumes the request.  If the run was forgotten with
+    the refusal, another one would start.
     """
     monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
-    began = []
+    started = []
     answer = types.SimpleNamespace(rest=None)
 
     async def work():
-        began.append(1)
+        started.append(1)
         await asyncio.sleep(0.2)
         return answer
 
     async def scenario():
-        here = _runs()
+        found = _runs()
         with contextlib.suppress(slots.Refused):
-            await here.run_once(_hop(1, True), _refuse, lambda: False)
+            await found.run_once(_hop(1, True), _refuse, lambda: False)
         first = asyncio.create_task(
-            here.run_once(_hop(2, True), work, lambda: True)
+            found.run_once(_hop(2, True), work, lambda: True)
         )
         await asyncio.sleep(0.1)
-        again = _hop(3, True)._replace(resumed=True)
-        second = await here.run_once(again, work, lambda: False)
+        resumed = _hop(3, True)._replace(resumed=True)
+        second = await found.run_once(resumed, work, lambda: False)
         return await first, second
 
     assert asyncio.run(scenario()) == (answer, answer)
-    assert began == [1]
+    assert started == [1]
 
 
-def test_who_asks_for_a_cancelled_run_is_told():
-    """A run is cancelled when whoever waited for it closes its connection; a
-    third node on the way does so also when its own sender's connection broke.
-    The sender then asks again and waits for the cancelled run: the error of
-    the run passed for the cancellation of the one who asked, whose connection
-    was closed without a word, again and again until the time was over.
+def test_resuming_a_cancelled_run_is_answered():
+    """Guards against a sender that resumes a request until its deadline.
+
+    A run is cancelled when its last waiter closes its connection; a third
+    node does so also when its own sender's connection broke.  The sender then
+    resumes the request.  If it joined the cancelled run, it would be
+    cancelled itself and its connection closed without an answer.
     """
 
     async def scenario():
@@ -134,17 +133,17 @@
         await asyncio.sleep(0.01)
         first.cancel()
         await asyncio.sleep(0.01)
-        again = hop._replace(resumed=True, send_number=2)
-        return await found.run_once(again, _refuse, lambda: False)
+        resumed = hop._replace(resumed=True, send_number=2)
+        return await found.run_once(resumed, _refuse, lambda: False)
 
-    with pytest.raises((answers.Failed, slots.Refused)) as told:
+    with pytest.raises((answers.Failed, slots.Refused)) as raised:
         asyncio.run(scenario())
-    assert told.value.reason in hops.MAY_HAVE_RUN
+    assert raised.value.reason in hops.MAY_HAVE_RUN
 
 
-def test_refusal_after_a_run_that_was_forgotten_promises_nothing(monkeypatch):
-    """Guards against not-run for a repeatable request that ran before it was
-    asked for again.
+def test_refusal_after_a_forgotten_run_promises_nothing(monkeypatch):
+    """Guards against not-run for an idempotent request that ran before it was
+    resumed.
     """
     monkeypatch.setattr(runs, 'KEEP_IDEMPOTENT_S', 0.02)
     answer = types.SimpleNamespace(rest=None)
@@ -153,13 +152,13 @@
         return answer
 
     async def scenario():
-        here = _runs()
-        first = await here.run_once(_hop(1, True), work, lambda: True)
+        found = _runs()
+        first = await found.run_once(_hop(1, True), work, lambda: True)
         await asyncio.sleep(0.1)
-        again = _hop(2, True)._replace(resumed=True)
-        with pytest.raises(slots.Refused) as told:
-            await here.run_once(again, _refuse, lambda: False)
-        return first, told.value.reason
+        resumed = _hop(2, True)._replace(resumed=True)
+        with pytest.raises(slots.Refused) as raised:
+            await found.run_once(resumed, _refuse, lambda: False)
+        return first, raised.value.reason
 
     first, reason = asyncio.run(scenario())
     assert first is answer
--- a/test/test_gateway_stopping.py
+++ b/test/test_gateway_stopping.py
@@ -1,4 +1,4 @@
-"""What is still on its way to callers and nodes when a node stops."""
+"""Answers that are still being sent when a node stops."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from test import pipes
 
 BODY = b'x' * 48_000
-# The other end takes nothing for so long, seconds.
+# How long a caller reads nothing, seconds.
 HELD_S = 1.0
 
 
 async def big(upstream, seen, writer) -> None:
-    """Answer with more than a pipe takes unread."""
+    """Answer with more than a connection buffers."""
     writer.write(fleets.good(BODY))
 
 
 async def read_slowly(port: int) -> bytes:
-    """Ask a node, read nothing for a while, then all that comes."""
+    """Send a request, pause, then read the whole answer."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.transport.pause_reading()
     writer.write(b'GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n')
@@ -31,7 +31,7 @@
 
 
 def test_stop_waits_until_callers_have_their_answers():
-    """Guards against an answer that a stop cuts off while it is sent."""
+    """Guards against an answer that a stop cuts off."""
 
     async def scenario():
         async with fleets.running(big, lame_duck_s=0.1) as fleet:
@@ -44,8 +44,8 @@
 
 
 @pytest.mark.parametrize('drain_s', [2.0, 6.0])
-def test_stop_ends_although_a_caller_takes_nothing(drain_s):
-    """Guards against a stop that one caller holds up beyond its time."""
+def test_stop_ends_although_a_caller_does_not_read(drain_s):
+    """Guards against a stop that one caller delays beyond its drain time."""
 
     async def scenario():
         async with fleets.running(
--- a/test/test_gateway_transit.py
+++ b/test/test_gateway_transit.py
@@ -1,4 +1,4 @@
-"""Requests between two nodes that are held up on their way."""
+"""Requests between two nodes that are delayed in transit."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
 
 
 async def warm(fleet) -> None:
-    """Let the first node hear of all upstreams."""
+    """Let the first node receive reports on all upstreams."""
     for _ in range(12):
         await fleet.ask('/read/warm')
         await asyncio.sleep(0.7)
 
 
-def seen_late(method: str, path: str, delay_s: float):
-    """Ask while the ways to one of two gateways are slow.
+def delayed_runs(method: str, path: str, delay_s: float):
+    """Send requests while the paths to one of two gateways are slow.
 
     :return: the answer's status, and when each run of the request began,
         seconds after it was sent, with the deadline that it was given, ms.
@@ -59,12 +59,12 @@
     return pipes.run(scenario())
 
 
-def test_request_that_its_sender_gave_up_is_not_begun():
-    """A call was answered at 40.680 s, and at 41.591 s a gateway that had
-    failed it at 40.351 s ran it once more, for nobody. Its sender had heard
-    nothing and asked again on another connection; on a link of 3.4 Mbit/s
-    the question stood behind other bytes. When it arrived, the answer had
-    long been there, and the gateway had forgotten the run.
+def test_request_that_its_sender_gave_up_is_not_started():
+    """Guards against runs whose answers nobody receives.
+
+    A request waited in the queue of a link of 3.4 Mbit/s.  Meanwhile its
+    sender resumed it on another connection and got its answer.  When it
+    arrived a second later, the gateway had forgotten the run and ran it again.
     """
 
     async def scenario():
@@ -74,44 +74,44 @@
             first = HOP._replace(
                 upstream='u9001', process=process, sent_ms=loop.uptime_ms()
             )
-            await hand_over(first)
+            await send_hop(first)
             await asyncio.sleep(1.2)
-            held_up = first._replace(send_number=2, resumed=True)
-            said = await hand_over(held_up)
-            return said, [seen.line for seen in fleet.runs]
+            delayed = first._replace(send_number=2, resumed=True)
+            answer = await send_hop(delayed)
+            return answer, [seen.line for seen in fleet.runs]
 
-    said, runs = pipes.run(scenario())
+    answer, runs = pipes.run(scenario())
     assert runs == ['GET /read/x HTTP/1.1']
-    # It may have run: nothing is promised.
-    assert said.startswith(b'HTTP/1.1 502')
+    # The request may have run, so the answer must not promise anything.
+    assert answer.startswith(b'HTTP/1.1 502')
 
 
-async def hand_over(hop: hops.Hop) -> bytes:
-    """Hand a request over on a connection of its own; return the answer."""
+async def send_hop(hop: hops.Hop) -> bytes:
+    """Send a request on a connection of its own; return the answer."""
     reader, writer = await asyncio.open_connection('127.0.0.1', 7001)
     head = b'GET /read/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n'
     writer.write(head + hops.header_line(hop) + b'\r\n')
     return await reader.read()
 
 
-def test_late_requests_are_answered_once_and_soon():
-    for status, runs in seen_late('GET', '/read/late', 2.0):
+def test_delayed_requests_are_answered_soon_and_run_once():
+    for status, runs in delayed_runs('GET', '/read/late', 2.0):
         assert status == 200
         assert len(runs) == 1
         assert runs[0][0] < 0.5
 
 
-def test_request_that_runs_once_is_not_begun_late_either():
-    for _status, runs in seen_late('POST', '/pay/late', 2.0):
+def test_non_idempotent_request_is_not_started_late():
+    for _status, runs in delayed_runs('POST', '/pay/late', 2.0):
         assert len(runs) <= 1
         assert all(at < 0.5 for at, _left in runs)
 
 
 def test_upstream_gets_the_time_that_is_left_when_a_request_arrives():
-    """Upstreams were handed more time than their callers had left, one 1,546
-    ms in place of 94: what was told at the sender's did not age on the way.
+    """Guards against upstreams that get more time than their callers have
+    left, such as 1,546 ms instead of 94, because transit was not deducted.
     """
-    for status, runs in seen_late('GET', '/read/slow', 0.1):
+    for status, runs in delayed_runs('GET', '/read/slow', 0.1):
         assert status == 200
         for at, left_ms in runs:
             assert left_ms <= DEADLINE_MS - 1000 * at + 5
@@ -123,11 +123,11 @@
 )  # fmt: skip
 
 
-def test_time_left_ages():
+def test_transit_time_is_deducted():
     assert transit.deduct_transit_time(HOP, 10_000) == HOP
     late = transit.deduct_transit_time(HOP, 10_100)
     assert (late.remaining_ms, late.goal_ms) == (800, 400)
-    # A clock that is a little behind makes nothing younger.
+    # A clock that is a little behind does not add time.
     assert transit.deduct_transit_time(HOP, 9_990) == HOP
     assert transit.deduct_transit_time(HOP, 10_151) is None
     assert (
@@ -156,24 +156,24 @@
     ),
     strategies.integers(0, 5000),
 )
-def test_no_request_is_taken_for_older_than_it_is(ahead, past, way_ms):
-    """Whatever the clocks say, and however long answers took."""
+def test_transit_time_is_never_overestimated(ahead, past, way_ms):
+    """Holds for any clocks and any service times."""
     clock = transit.ClockOffset()
     now = 10**9
     for there_ms, work_ms, _back_ms in past:
-        told = now + there_ms + work_ms + ahead
-        clock.observe(now, told)
+        read_ms = now + there_ms + work_ms + ahead
+        clock.observe(now, read_ms)
         now += 1000
     sent_ms = clock.to_remote(now)
     arrived = now + way_ms + ahead
     assert arrived - sent_ms <= way_ms
-    # And hardly for younger, once one short way was seen.
+    # After one fast transit it is not underestimated either.
     clock.observe(now, now + ahead)
     sent_ms = clock.to_remote(now)
     assert way_ms <= arrived - sent_ms or sent_ms > now + ahead
 
 
-def test_clocks_of_many_processes_take_bounded_memory():
+def test_clock_offsets_take_bounded_memory():
     clocks = transit.ClockOffsets()
     for number in range(2 * transit.MAX_CLOCKS):
         clocks.of('h', 'p%d' % number).observe(0, number)
@@ -181,14 +181,12 @@
     assert clocks.of('h', 'unknown').to_remote(5) == 0
 
 
-def test_processes_of_one_name_have_each_their_own_clock():
-    """Two requests in three were refused as given up by their senders. The
-    name of a process is the moment of its start, and those of a fleet start
-    in the same few milliseconds: what was heard of one host's clock was held
-    against another's.
+def test_processes_of_the_same_name_have_separate_clock_offsets():
+    """Guards against requests refused as given up by their senders.
 
-        HEARD 1776928789218 from a host that had been up for 42,861 s
-        sent 1,962,732 now 99,219,912, patience 150
+    The name of a process is the time of its start in ms, and processes of a
+    fleet may start in the same millisecond.  The clock of one host must not
+    be taken for that of another, which has been up for a different time.
     """
     clocks = transit.ClockOffsets()
     clocks.of('one', '1776928789218').observe(1000, 42_861_482)
--- a/test/test_gateway_unresponsive.py
+++ b/test/test_gateway_unresponsive.py
@@ -1,4 +1,4 @@
-"""Gateways that are late with what shows that they have a request."""
+"""Gateways whose signs of life arrive late or not at all."""
 
 import asyncio
 import math
@@ -16,18 +16,18 @@
 from test import gateway_setup as fleets
 from test import pipes
 
-# More than any sign of life is waited for.
+# Longer than the wait for any sign of life, seconds.
 LATE_S = 0.5
 WORK_S = 0.7
 
 
 @pytest.mark.parametrize('stops', [False, True], ids=['steady', 'stopping'])
 @pytest.mark.parametrize('method', ['GET', 'POST'])
-def test_run_is_not_broken_off_while_its_gateways_signs_are_late(
+def test_run_continues_while_its_gateways_signs_of_life_are_late(
     method, stops
 ):
-    """Guards against 502 for a run in progress whose gateway has a full link,
-    also while both nodes stop.
+    """Guards against 502 for a request that is running at a gateway with a
+    full link, also while both nodes stop.
     """
     path = '/read/x' if method == 'GET' else '/pay/x'
 
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize('gap_s', [0.3, 0.6, 1.2])
-def test_repeatable_run_is_found_again_after_its_gateway_was_cut_off(gap_s):
-    """Guards against giving up a run that nothing can take the place of."""
+def test_idempotent_run_is_resumed_after_its_gateway_was_cut_off(gap_s):
+    """Guards against giving up a run when no other upstream is left."""
 
     async def scenario():
         script = fleets.slow(2.0)
@@ -65,7 +65,7 @@
     assert pipes.run(scenario()) == (200, 1)
 
 
-def test_doubted_repeatable_request_is_answered_by_another_upstream():
+def test_request_at_a_silent_gateway_is_answered_by_another_upstream():
     """Guards against waiting for a silent gateway while others have room."""
 
     async def scenario():
@@ -99,7 +99,7 @@
 
 
 class ScriptedAttempt:
-    """One question of a scripted sender."""
+    """One attempt of a scripted sender."""
 
     def __init__(self, number: int) -> None:
         self.hop = types.SimpleNamespace(send_number=number)
@@ -110,30 +110,30 @@
         self.was_reset = False
 
     def reset(self) -> None:
-        """Take note that it is given up."""
+        """Record that it was reset."""
         self.was_reset = True
 
 
 class ScriptedSender:
-    """Sends questions whose answers a test decides."""
+    """Sends attempts whose answers a test decides."""
 
     def __init__(self) -> None:
         self.attempts = [ScriptedAttempt(1)]
         self.observer = None
 
     def resume_attempt(self, dispatch, lost, detour):
-        """Return a further question."""
+        """Return a further attempt."""
         self.attempts.append(ScriptedAttempt(len(self.attempts) + 1))
         return self.attempts[-1]
 
     async def answer(self, dispatch, target, attempt, observer):
-        """Answer what the test decides."""
+        """Return what the test decides."""
         self.observer = observer
         return await asyncio.shield(attempt.result)
 
 
 def resumed(scenario):
-    """Run a scenario with a request whose first question is in doubt."""
+    """Run a scenario with a request whose first attempt is unresponsive."""
 
     async def run():
         sender = ScriptedSender()
@@ -157,8 +157,8 @@
     return pipes.run(run())
 
 
-def test_refusal_of_an_older_question_is_no_promise():
-    """Guards against 503 not-run for a request that a newer question runs."""
+def test_refusal_of_an_earlier_attempt_promises_nothing():
+    """Guards against 503 not-run for a request that a later attempt runs."""
 
     async def scenario(sender, asking, _upstream):
         old, new = sender.attempts
@@ -171,7 +171,7 @@
     assert resumed(scenario) == 'answer'
 
 
-def test_refusal_of_the_newest_question_counts():
+def test_refusal_of_the_latest_attempt_counts():
     async def scenario(sender, asking, _upstream):
         old, new = sender.attempts
         new.result.set_exception(dispatches.Declined('busy', None))
@@ -182,7 +182,7 @@
     assert resumed(scenario)
 
 
-def test_sign_of_life_ends_the_other_questions():
+def test_sign_of_life_ends_the_other_attempts():
     """Guards against an answer that crosses a full link twice."""
 
     async def scenario(sender, asking, _upstream):
@@ -196,8 +196,8 @@
     assert resumed(scenario) == ('answer', False, True)
 
 
-def test_open_questions_are_bounded_and_end_with_their_host():
-    """Guards against a full link that questions fill further, and against
+def test_open_attempts_are_bounded_and_end_with_their_host():
+    """Guards against attempts that load a full link further, and against
     waiting for a host that has died until the deadline.
     """
 
@@ -215,8 +215,8 @@
     assert resumed(scenario) == resuming.MAX_OPEN_ATTEMPTS
 
 
-def test_answer_that_is_here_is_not_dropped_for_a_sign_of_another():
-    """Guards against dropping an answer for a sign of life of another."""
+def test_answer_is_not_dropped_when_another_attempt_shows_a_sign_of_life():
+    """Both happen in the same iteration of the event loop."""
 
     async def scenario(sender, asking, _upstream):
         old, new = sender.attempts
@@ -224,7 +224,7 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         sender.observer.on_sign_of_life(old)
-        # For a long answer, q1 is told that it was passed on before.
+        # A long answer is streamed to one attempt; the other one fails.
         old.result.set_exception(
             answers.Failed(
                 'error', codes.ANSWER_LOST, True, hops.ALREADY_STREAMED
@@ -235,8 +235,8 @@
     assert resumed(scenario) == 'answer'
 
 
-def test_later_questions_do_not_wait_for_ever_longer():
-    """Guards against a patience that grows without a bound."""
+def test_timeout_of_later_attempts_is_bounded():
+    """Guards against a timeout that grows without limit."""
 
     async def scenario(sender, asking, upstream):
         sender.attempts[0].result.set_exception(
@@ -251,13 +251,13 @@
                 )
         await asyncio.sleep(0.2)
         asking.cancel()
-        return max(q.first_sign_timeout_s for q in sender.attempts)
+        return max(a.first_sign_timeout_s for a in sender.attempts)
 
     assert resumed(scenario) < 3.0
 
 
-def test_second_answer_does_not_break_a_connection_that_was_given_back():
-    """Guards against a reset of a connection that others use by now."""
+def test_second_answer_does_not_reset_a_released_connection():
+    """Guards against resetting a connection that others use by now."""
 
     async def scenario(sender, asking, upstream):
         old, new = sender.attempts
--- a/test/test_gateway_uploads.py
+++ b/test/test_gateway_uploads.py
@@ -22,14 +22,14 @@
 async def echo(upstream, seen, writer) -> None:
     """Answer with the length of the body and its last bytes."""
     await asyncio.sleep(0.3)
-    said = b'%d %b' % (len(seen.body), seen.body[-8:])
-    writer.write(fleets.good(said))
+    answer = b'%d %b' % (len(seen.body), seen.body[-8:])
+    writer.write(fleets.good(answer))
 
 
 async def upload(
     body: bytes, chunked: bool = False, node: int = 0
 ) -> setups.Answer:
-    """Upload a body at a node."""
+    """Upload a body to a node."""
     reader, writer = await asyncio.open_connection('127.0.0.1', 8000 + node)
     try:
         head = b'POST /up/a HTTP/1.1\r\nHost: x\r\n'
@@ -40,14 +40,14 @@
             head += b'Content-Length: %d\r\n\r\n' % len(body)
         writer.write(head + body)
         line, headers = await setups.read_head(reader)
-        said = await setups.read_body(reader, headers)
-        return setups.Answer(int(line.split()[1]), headers, said)
+        answer = await setups.read_body(reader, headers)
+        return setups.Answer(int(line.split()[1]), headers, answer)
     finally:
         writer.close()
 
 
 async def warm(fleet) -> None:
-    """Let the first node hear of all upstreams."""
+    """Let the first node receive reports on all upstreams."""
     for _ in range(8):
         await fleet.ask('/read/a')
         await asyncio.sleep(0.7)
@@ -64,22 +64,21 @@
 
 
 BODIES = [
-    pytest.param(20_000, False, id='held'),
-    pytest.param(300_000, False, id='passed on'),
-    pytest.param(20_000, True, id='held, in chunks'),
-    pytest.param(300_000, True, id='passed on, in chunks'),
+    pytest.param(20_000, False, id='buffered'),
+    pytest.param(300_000, False, id='streamed'),
+    pytest.param(20_000, True, id='buffered, in chunks'),
+    pytest.param(300_000, True, id='streamed, in chunks'),
 ]
 
 
 @pytest.mark.parametrize('size,chunked', BODIES)
-def test_body_goes_to_the_gateway_that_has_a_slot_and_to_no_other(
-    size, chunked
-):
-    """Uploads made up most of the bytes between data centres, and on slow
-    links they held up what stood behind them. A body went out with its head,
-    to each gateway that was asked, although most refuse; one that was not
-    held could be offered to a single gateway only, and was rejected when that
-    had no slot.
+def test_body_is_sent_only_to_the_gateway_that_has_a_slot(size, chunked):
+    """Guards against uploads that load slow links between data centres.
+
+    If a body was sent with its head, it would go to each gateway that is
+    asked, although most refuse, and delay what is sent after it.  One that is
+    not buffered could be offered to a single gateway only, and would be
+    rejected when that has no slot.
     """
 
     async def scenario():
@@ -89,7 +88,7 @@
             return [await once(fleet) for _ in range(6)]
 
     async def once(fleet):
-        # Two of three have no slot, and the first node does not know which.
+        # Two of three have no slot, which the first node does not know.
         busy = [
             asyncio.ensure_future(upload(b'y', node=node)) for node in (1, 2)
         ]
@@ -109,7 +108,7 @@
 
 
 @pytest.mark.parametrize('size,chunked', BODIES)
-def test_body_comes_whole_where_nothing_is_known_of_gateways(size, chunked):
+def test_body_arrives_whole_at_a_gateway_without_reports(size, chunked):
     async def scenario():
         async with fleets.running(None, echo, routes=ROUTES):
             return await upload(b'x' * size, chunked)
@@ -118,7 +117,7 @@
     assert (answer.status, answer.body) == (200, b'%d xxxxxxxx' % size)
 
 
-def test_body_that_breaks_off_gives_the_slot_back():
+def test_incomplete_body_releases_the_slot():
     """The caller leaves in the middle of its upload."""
 
     async def scenario():
@@ -132,11 +131,11 @@
             await asyncio.sleep(0.2)
             writer.close()
             await asyncio.sleep(2.0)
-            line = next(
+            queue = next(
                 iter(fleet.nodes[1].service.executor.slots.values())
             ).queue
             again = await upload(b'z' * 20_000)
-            return line.running, again
+            return queue.running, again
 
     running, again = pipes.run(scenario())
     assert running == 0
@@ -161,9 +160,9 @@
         max_size=3,
     ),
 )
-def test_uploads_run_once_at_most_and_whole(uploads, resets):
-    """Whatever their sizes and however they come, and whichever connections
-    between nodes break meanwhile.
+def test_uploads_run_at_most_once_and_complete(uploads, resets):
+    """Holds for all sizes and framings, and for any connections between nodes
+    that break meanwhile.
     """
 
     async def one(number, size, chunked, at_ms):
@@ -199,23 +198,24 @@
         zip(found, uploads)
     ):
         body = b'%08d' % number * (size // 8)
-        mine = [run for run in runs if run.body == body and size]
-        assert len(mine) <= 1
+        own_runs = [run for run in runs if run.body == body and size]
+        assert len(own_runs) <= 1
         if answer.status == 200 and size:
             assert answer.body == b'%d %b' % (len(body), body[-8:])
         if answer.headers.get('caraway-outcome') == 'not-run' and size:
-            assert not mine
-    whole = {b'%08d' % n * (s // 8) for n, (s, _c, _a) in enumerate(uploads)}
-    assert all(run.body in whole for run in runs)
+            assert not own_runs
+    bodies = {b'%08d' % n * (s // 8) for n, (s, _c, _a) in enumerate(uploads)}
+    assert all(run.body in bodies for run in runs)
 
 
 @pytest.mark.parametrize('known', [False, True])
-def test_upload_just_over_the_held_size_runs_once_although_a_way_breaks(known):
-    """An upload that may run once ran twice. Its caller sent 70,000 bytes in
-    chunks, which the node held whole, as they came in one piece; the gateway
-    took what declares more than 64 KiB for a body that can't be sent again,
-    and gave the run no name. The connection between the two was reset, the
-    node asked again with the body, and the gateway began another run.
+def test_upload_above_the_buffered_size_runs_once_if_a_path_breaks(known):
+    """Guards against a non-idempotent upload that runs twice.
+
+    A body of 70,000 bytes in chunks arrives in one piece, so that the node
+    buffers it whole and can resume the request.  The gateway must not take
+    every body of more than 64 KiB for a streamed one, which can't be resent,
+    and run it without deduplication.
     """
 
     async def scenario():
