--- a/carawaystair/gateway_node.py
+++ b/carawaystair/gateway_node.py
@@ -1,4 +1,4 @@
-"""A node whose requests go through the gateways of their upstreams."""
+"""Node that reaches upstreams through the gateways on their hosts."""
 
 from carawaystair import gateway
 from carawaystair import node
@@ -6,10 +6,10 @@
 
 
 class GatewayNode(node.Node):
-    """One node whose requests go through gateways.
+    """Node with a gateway in front of the upstreams of its host.
 
-    Its gateway sees all that its upstreams do, so that it needs no pooled
-    evidence about them, and no shares of their slots.
+    The gateway sees every outcome of its upstreams, so that the node needs
+    neither pooled evidence about them nor shares of their slots.
 
     :param kernel: the kernel of the process.
     """
@@ -35,12 +35,12 @@
         )
 
     def judge(self):
-        """Return the gateway, which sees what the upstreams do."""
+        """Return the gateway, which judges the health of upstreams."""
         return self.gateway
 
     @property
     def ready(self) -> bool:
-        """Tell whether this node serves callers and will go on doing so."""
+        """Return whether this node serves callers and is not stopping."""
         return self.follower.ready and not self.gateway.stopping
 
 
--- a/test/gateway_setup.py
+++ b/test/gateway_setup.py
@@ -28,18 +28,18 @@
 
 
 class LogLines:
-    """Takes log lines."""
+    """Collects log lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
 
     def line(self, data: bytes) -> None:
-        """Keep one line."""
+        """Append a line."""
         self.lines.append(data)
 
 
 class Membership:
-    """What a gateway needs of membership, for one node."""
+    """The part of the membership service that a gateway uses, for one node."""
 
     def __init__(self, node: 'Node', fleet: 'Fleet') -> None:
         self.node = node
@@ -75,13 +75,13 @@
         return tuple(node.member for node in self.fleet.nodes)
 
     def subscribe(self, callback) -> None:
-        """Call back when a process comes or goes."""
+        """Register a callback for processes that join or leave."""
         self.callbacks.append(callback)
 
     def publish(self, _urgent: bool) -> None:
-        """Tell all nodes of the upstreams of this one."""
-        told = {row.id: row for row in self.registry.rows()}
-        for name in set(self.node.announced) - set(told):
+        """Publish the upstreams of this node to all nodes."""
+        upstreams = {row.id: row for row in self.registry.rows()}
+        for name in set(self.node.announced) - set(upstreams):
             gone = self.node.announced[name]._replace(state=interfaces.GONE)
             self.fleet.publish(gone)
         self.node.announced = {
@@ -96,16 +96,16 @@
                 state=('up', 'draining')[row.state],
                 incarnation=row.incarnation,
             )
-            for row in told.values()
+            for row in upstreams.values()
         }
         for upstream in self.node.announced.values():
             self.fleet.publish(upstream)
 
 
 class Node:
-    """One node with its gateway, and an upstream beside it or none.
+    """One node with its gateway, and the upstream on its host if any.
 
-    :param number: names it and its ports.
+    :param number: determines its name and its ports.
     """
 
     def __init__(self, number: int, fleet: 'Fleet', upstream, **node) -> None:
@@ -165,18 +165,18 @@
     def announce(
         self, state: str = 'up', slots: int = 5, incarnation: int = 0
     ) -> None:
-        """Let the upstream of this host announce itself.
+        """Announce the upstream of this host.
 
-        :param incarnation: its lifetime; 0 for the one that is known.
+        :param incarnation: its incarnation; 0 for the current one.
         """
-        said = registries.Announcement(
+        announcement = registries.Announcement(
             self.runs_service,
             '127.0.0.1:%d' % self.upstream.port,
             slots,
             state=state,
             incarnation=incarnation,
         )
-        self.membership.registry.announce(self.upstream.name, said, 1)
+        self.membership.registry.announce(self.upstream.name, announcement, 1)
 
     def events_of(self, request: str) -> list[dict]:
         """Return the events about a request in this node's log."""
@@ -185,14 +185,14 @@
 
 
 class Fleet:
-    """Several nodes.
+    """Several nodes in one process.
 
-    :param scripts: one for each node with an upstream; None for a node
-        without one.
+    :param scripts: the script of each node's upstream; None for a node
+        without an upstream.
     :param remote_count: number of nodes, counted from the last, that are in
         another data centre.
-    :param services: the service of each node's upstream; by default all have
-        the same one.
+    :param services: the service of each node's upstream; by default the same
+        one for all.
     """
 
     def __init__(
@@ -224,13 +224,13 @@
         return 'b' if number >= self.count - self.remote_count else 'a'
 
     def publish(self, upstream: interfaces.Upstream) -> None:
-        """Tell all nodes of an upstream."""
+        """Publish the state of an upstream to all nodes."""
         for node in self.nodes:
             node.membership.directory.put(upstream)
 
     @property
     def runs(self) -> list[setups.Seen]:
-        """Return what all upstreams ran."""
+        """Return the requests that all upstreams ran."""
         return [
             seen
             for node in self.nodes
@@ -241,7 +241,7 @@
     async def ask(
         self, path: str, method: str = 'GET', node: int = 0, **options
     ) -> setups.Answer:
-        """Ask one node on a connection of its own."""
+        """Send a request to one node on a connection of its own."""
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.nodes[node].listen, limit=2**21
         )
@@ -265,7 +265,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*scripts, **options):
-    """Run nodes; those with a script have an upstream that follows it."""
+    """Run nodes, with upstreams that follow the scripts."""
     fleet = Fleet(scripts, **options)
     for node in fleet.nodes:
         if node.upstream is not None:
@@ -284,17 +284,17 @@
 
 
 def good(body: bytes = b'done', **headers: str) -> bytes:
-    """Return the bytes of a good answer with its receipt."""
+    """Return the bytes of a good answer with a receipt."""
     return setups.reply(body, X_Receipt='r', **headers)
 
 
 async def serve(upstream, seen, writer) -> None:
-    """Answer at once."""
+    """Script that answers at once."""
     writer.write(good(upstream.name.encode()))
 
 
 def slow(seconds: float):
-    """Return a script that works for some time."""
+    """Return a script that answers after some time."""
 
     async def script(upstream, seen, writer):
         await asyncio.sleep(seconds)
@@ -304,21 +304,21 @@
 
 
 async def fail(upstream, seen, writer) -> None:
-    """Fail at once."""
+    """Script that fails at once."""
     writer.write(setups.reply(b'no', 500, X_Receipt='r'))
 
 
 def run_count(fleet: Fleet, path: str) -> int:
-    """Return how often a request was run."""
+    """Return how many runs a request had."""
     return sum(path in seen.line for seen in fleet.runs)
 
 
 async def ask_until_running(
     fleet: Fleet, path: str, method: str, body: bytes = b'x'
 ) -> asyncio.Task:
-    """Ask the first node; return once an upstream runs the request.
+    """Send a request to the first node; return once an upstream runs it.
 
-    Where there are more than two nodes, one has an upstream of ``other``.
+    With more than two nodes, one must have an upstream of ``other``.
     """
     await fleet.ask('/read/warm')
     if fleet.count > 2:
--- a/test/stubs.py
+++ b/test/stubs.py
@@ -1,4 +1,4 @@
-"""Parts around the request path that do the least, for its tests.
+"""Minimal stand-ins for the parts around the request path.
 
 Nothing is ejected, everything is admitted at once, and keys are reserved
 within this process only.
@@ -14,7 +14,7 @@
 
 
 class Health:
-    """Health that finds every upstream well."""
+    """Health check that finds every upstream healthy."""
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return no upstream."""
@@ -25,7 +25,7 @@
         return 1.0
 
     def trial(self, service: str) -> str | None:
-        """Want no copy of a request."""
+        """Request no trial."""
         return None
 
 
@@ -33,7 +33,7 @@
     """Quarantine that refuses nothing."""
 
     def standing(self, digest: str) -> crashing.Standing:
-        """Know nothing of a request."""
+        """Return that nothing is known of a request."""
         return crashing.UNKNOWN
 
     def refuses(self, digest: str) -> bool:
@@ -41,22 +41,22 @@
         return False
 
     def may_begin(self, digest: str) -> bool:
-        """Let everything run."""
+        """Allow every request."""
         return True
 
     def may_repeat(self, digest: str) -> bool:
-        """Let everything be repeated."""
+        """Allow every repeat."""
         return True
 
     def ended_well(self, digest: str) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     def crashed(self, life, requests, proven, how) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
 
 class Evidence:
-    """Evidence that keeps what it was told, for tests to read."""
+    """Evidence that collects attempts for tests."""
 
     def __init__(self) -> None:
         self.attempts: list[interfaces.Attempt] = []
@@ -70,30 +70,30 @@
         route: str = '',
         fresh: bool = True,
     ) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def record(self, attempt: interfaces.Attempt) -> None:
-        """Keep the attempt."""
+        """Append the attempt."""
         self.attempts.append(attempt)
 
 
 class Permit:
-    """Leave to run, which counts itself.
+    """Permit that records its release.
 
-    :param admission: where it is counted.
+    :param admission: the admission that gave it.
     """
 
     def __init__(self, admission: 'Admission') -> None:
         self.admission = admission
 
     def release(self, outcome: str, latency_s: float) -> None:
-        """Give the slot back."""
+        """Release the permit."""
         self.admission.held -= 1
         self.admission.released.append(outcome)
 
 
 class Admission:
-    """Admission that lets everything start at once."""
+    """Admission control that admits everything at once."""
 
     def __init__(self) -> None:
         self.held = 0
@@ -107,7 +107,7 @@
         return Permit(self)
 
     def retry_after(self, service: str) -> float:
-        """Return a second."""
+        """Return one second."""
         return 1.0
 
     async def admit(
@@ -118,10 +118,10 @@
 
 
 class Key(typing.NamedTuple):
-    """What stands behind a reserved key.
+    """State of a reserved key.
 
-    :param digest: of the request that reserved it.
-    :param answer: its stored answer, None while it runs.
+    :param digest: digest of the request that reserved it.
+    :param answer: the stored answer; None while the request runs.
     """
 
     digest: bytes
@@ -129,7 +129,7 @@
 
 
 class Reservations:
-    """Reservations that hold within this process, for ever."""
+    """Reservations in the memory of this process that never expire."""
 
     def __init__(self) -> None:
         self.keys: dict[str, Key] = {}
@@ -142,7 +142,7 @@
         digest: bytes,
         deadline: float,
     ) -> expression.Result[interfaces.Reserved, codes.Failure]:
-        """Reserve a key, or tell what became of it."""
+        """Reserve a key, or return the state of its reservation."""
         token = '%s\n%s\n%s' % (service, customer, key)
         held = self.keys.get(token)
         if held is None:
@@ -162,5 +162,5 @@
         self.keys[token] = self.keys[token]._replace(answer=answer)
 
     async def release(self, token: str) -> None:
-        """Forget the key."""
+        """Remove the reservation."""
         self.keys.pop(token, None)
--- a/test/test_gateway_spread.py
+++ b/test/test_gateway_spread.py
@@ -119,9 +119,9 @@
     """Guards against starving upstreams without an ejection.
 
     Only runs of the last 0.25 s prove an upstream healthy, and gateways take
-    no non-idempotent request without such a proof.  Without idempotent requests
-    that try the others, upstreams with work would keep it, and those without
-    would never get any: an ejection without a floor.
+    no non-idempotent request without such a proof.  Without idempotent
+    requests that try the others, upstreams with work would keep it, and those
+    without would never get any: an ejection without a floor.
     """
     assert min(_shares(1, 4)) >= FLOOR
 
