--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -315,7 +315,7 @@
         want: waiting.Want,
         now: float,
     ) -> bool:
-        """Return whether the request is a trial of a failing upstream.
+        """Return whether the request runs here as a trial of the upstream.
 
         :raises slots.Refused: when it should not run here.
         """
@@ -517,7 +517,10 @@
         if outcome == interfaces.BROKEN:
             _discard(answer)
             raise answers.Failed(
-                outcome, codes.ANSWER_MALFORMED, True, 'no receipt'
+                outcome,
+                codes.ANSWER_MALFORMED,
+                True,
+                'answer without a receipt',
             )
         if answer.status in NOT_RUN_STATUSES:
             # Forwarded, it would promise that the request has not run.
@@ -526,7 +529,7 @@
                 outcome,
                 codes.ANSWER_LOST,
                 True,
-                'status %d without a mark' % answer.status,
+                'status %d without the not-run header' % answer.status,
             )
         return answer
 
--- a/carawaystair/gateway/instances.py
+++ b/carawaystair/gateway/instances.py
@@ -96,7 +96,7 @@
         Their outcome is unknown and no answer will come; on a connection that
         has gone silent this would not show before the deadline.  An attempt
         on a connection that was opened after the start of the new instance
-        runs in that one: the announcement comes later than the start.
+        runs in that one, which announces itself only after its start.
 
         :param started_ms: start of the new instance, ms since 1970.  Where
             incarnations are counted in another way nothing is aborted, and
@@ -111,7 +111,7 @@
         ]
         for attempt in found:
             attempt.connection.proto.fail(
-                aiohttp.ServerDisconnectedError('its upstream started anew')
+                aiohttp.ServerDisconnectedError('its upstream has restarted')
             )
         return len(found)
 
--- a/carawaystair/gateway/runs.py
+++ b/carawaystair/gateway/runs.py
@@ -71,7 +71,7 @@
             collections.OrderedDict()
         )
         self.joined = 0
-        # Broken waiters whose runs are not cancelled yet.
+        # Number of runs whose last connection broke within ORPHAN_TIMEOUT_S.
         self.orphans = 0
 
     async def run_once(
--- a/test/test_gateway_hedging.py
+++ b/test/test_gateway_hedging.py
@@ -146,5 +146,5 @@
             found = await ask_repeatedly(fleet, '/read/a', 'GET', 10)
             return len(found), len(fleet.runs)
 
-    asked, runs = pipes.run(scenario())
-    assert asked == runs
+    count, runs = pipes.run(scenario())
+    assert count == runs
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -95,12 +95,14 @@
 
     async def scenario():
         async with fleets.running(*[script] * 4) as fleet:
-            asked = []
+            requests = []
             for step in range(200):
                 one = fleet.ask('/pay/a', 'POST', node=step % 4, body=b'x')
-                asked.append(asyncio.ensure_future(one))
+                requests.append(asyncio.ensure_future(one))
                 await asyncio.sleep(0.05)
-            return [answer.status for answer in await asyncio.gather(*asked)]
+            return [
+                answer.status for answer in await asyncio.gather(*requests)
+            ]
 
     found = pipes.run(scenario())
     assert found.count(200) >= 0.9 * len(found)
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -59,16 +59,16 @@
         scripts = [call_and_fail] * 6 + [note] * 2
         async with fleets.running(*scripts, **options) as fleet:
             fleet_of.append(fleet)
-            asked = []
+            requests = []
             for number in range(REQUESTS):
                 calls = number % CALLING == 0
                 path, method = (
                     ('/read/', 'GET') if calls else ('/pay/', 'POST')
                 )
                 one = fleet.ask(path, method, rng.randrange(8))
-                asked.append(asyncio.ensure_future(one))
+                requests.append(asyncio.ensure_future(one))
                 await asyncio.sleep(SPACING_S)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
 
     pipes.run(scenario())
     return arrivals
@@ -118,16 +118,16 @@
         scripts = [call_and_fail] * 6 + [note] * 2
         async with fleets.running(*scripts, **options) as fleet:
             fleet_of.append(fleet)
-            asked = []
+            requests = []
             for number in range(int(length_s / SPARSE_S)):
                 one = fleet.ask(
                     '/%s/' % callers[number % 3],
                     node=number % 8,
                     Caraway_Request_Id='%s%d' % (name, number),
                 )
-                asked.append(asyncio.ensure_future(one))
+                requests.append(asyncio.ensure_future(one))
                 await asyncio.sleep(SPARSE_S)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
 
     async def scenario():
         options = {
@@ -218,11 +218,11 @@
             'slots': 1,
         }
         async with fleets.running(*scripts, **options) as fleet:
-            asked = []
+            requests = []
             for _time in range(20):
-                asked.append(asyncio.ensure_future(fleet.ask('/read/a')))
+                requests.append(asyncio.ensure_future(fleet.ask('/read/a')))
                 await asyncio.sleep(0.2)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
             return refusal_reasons(fleet), repeat_counts(fleet)
 
     reasons, (counted, received) = pipes.run(scenario())
--- a/test/test_gateway_unresponsive.py
+++ b/test/test_gateway_unresponsive.py
@@ -206,11 +206,11 @@
             for attempt in list(sender.attempts):
                 sender.observer.on_silence(attempt)
             await asyncio.sleep(0.1)
-        asked = len(sender.attempts)
+        count = len(sender.attempts)
         upstream.state = 'gone'
         with pytest.raises(answers.Failed):
             await asyncio.wait_for(asking, 2 * resuming.GONE_TIMEOUT_S)
-        return asked
+        return count
 
     assert resumed(scenario) == resuming.MAX_OPEN_ATTEMPTS
 
