--- a/carawaystair/gateway/nested_calls.py
+++ b/carawaystair/gateway/call_tracker.py
@@ -17,14 +17,14 @@
 MAX_FAILURES = 1024
 
 
-class NestedCalls:
+class NestedCallTracker:
     """Tracks the running requests of this host and their nested calls.
 
-    :param payer: budgets the nested calls of repeated runs.
+    :param budget: retry budget for the nested calls of repeated runs.
     """
 
-    def __init__(self, payer: nesting.Payer) -> None:
-        self.payer = payer
+    def __init__(self, budget: nesting.Payer) -> None:
+        self.budget = budget
         # Number of runs of each request at the upstreams of this host, with
         # its priority and its service.
         self.running: collections.Counter = collections.Counter()
@@ -48,7 +48,7 @@
         self.running[request] += 1
         self.ranks[request] = rank
         self.services[request] = service
-        self.payer.counts.ran(service)
+        self.budget.counts.ran(service)
         if repeat:
             self.repeated.add(request)
 
@@ -59,7 +59,7 @@
             del self.running[request]
             del self.ranks[request]
             del self.services[request]
-            self.payer.ended(request)
+            self.budget.ended(request)
             self.repeated.discard(request)
 
     def running_parent(self, request: str) -> str:
@@ -73,8 +73,8 @@
         :param parent: the running request that makes it.
         :param service: the service that is called.
         """
-        self.payer.counts.called(self.services[parent], service)
-        return self.payer.use(parent, service)
+        self.budget.counts.called(self.services[parent], service)
+        return self.budget.use(parent, service)
 
     def rank(self, call: str, own: int) -> int:
         """Return a request's priority, or its parent's if less urgent.
--- a/carawaystair/gateway/caller_handler.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -8,9 +8,9 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
+from carawaystair.gateway import call_tracker
 from carawaystair.gateway import dispatcher as dispatchers
 from carawaystair.gateway import dispatches
-from carawaystair.gateway import nested_calls
 from carawaystair.gateway import request_metrics
 from carawaystair.gateway import splitting
 from carawaystair.gateway import startup
@@ -67,7 +67,7 @@
         dispatcher: dispatchers.Dispatcher,
         startup_wait: startup.StartupWait,
         splitter: splitting.Splitter,
-        nested: nested_calls.NestedCalls,
+        nested: call_tracker.NestedCallTracker,
         meters: meters_module.Meters,
         metrics: request_metrics.RequestMetrics,
         recorder: decisions.Recorder,
@@ -359,7 +359,7 @@
             and dispatch.params.caller_repeated
             and dispatch.over_budget
         ):
-            self.nested_calls.payer.refused(service, clock.now())
+            self.nested_calls.budget.refused(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
                 dispatch.call.id,
--- a/carawaystair/gateway/dispatcher.py
+++ b/carawaystair/gateway/dispatcher.py
@@ -82,7 +82,7 @@
         self.retry_budgets = retry_budgets
         self.quarantine = quarantine
         self.pool = pool
-        self.board = pool.board
+        self.selector = pool.selector
         self.client = client
         self.startup_wait = startup_wait
         self.rng = rng
@@ -270,7 +270,7 @@
         first = self._offer_to(
             dispatch, target, usable_count, min_value, retry_value
         )
-        durations, key = self.board.durations, dispatch.call.match.key
+        durations, key = self.selector.durations, dispatch.call.match.key
         if dispatch.final_attempt or dispatch.call.body is None:
             return await first
         after_s = math.inf
@@ -320,8 +320,8 @@
         name = upstream.id
         dispatch.offers += 1
         offer = self._offer_event(dispatch, upstream, usable_count, min_value)
-        view = self.board.view(name)
-        view.mine += 1
+        state = self.selector.view(name)
+        state.mine += 1
         began = clock.now()
         budget = self.retry_budgets.of(dispatch.params.service)
         # A nested call of a repeat is itself a repeat, unless it was charged
@@ -358,9 +358,9 @@
                 raise
             return None
         finally:
-            view.mine -= 1
+            state.mine -= 1
         bad = answer.status >= 500
-        self.board.sizes.add(dispatch.call.match.key, answers.size(answer))
+        self.selector.sizes.add(dispatch.call.match.key, answers.size(answer))
         self.pool.record_outcome(dispatch.params.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
@@ -414,8 +414,8 @@
     ) -> decisions.Offered:
         """Return the event of an offer, with what is known before it."""
         now = clock.now()
-        view = self.board.view(upstream.id)
-        known = view.report is not None
+        state = self.selector.view(upstream.id)
+        known = state.report is not None
         candidate = placing.Candidate(upstream.id, False, upstream.slots)
         params = dispatch.params
         return decisions.Offered(
@@ -429,8 +429,8 @@
             dispatch.call.idempotent,
             params.nested,
             min_value is None,
-            int((now - view.at) * MS) if known else -1,
-            self.board.load(candidate, now),
+            int((now - state.at) * MS) if known else -1,
+            self.selector.load(candidate, now),
             usable_count,
             ' '.join(dispatch.refusals),
         )
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -6,9 +6,9 @@
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import decisions
+from carawaystair.gateway import call_tracker
 from carawaystair.gateway import hops
 from carawaystair.gateway import instances
-from carawaystair.gateway import nested_calls
 from carawaystair.gateway import request_metrics
 from carawaystair.gateway import run_observer
 from carawaystair.gateway import send_attempts
@@ -68,7 +68,7 @@
         self,
         membership,
         settings: settings_module.Settings,
-        nested: nested_calls.NestedCalls,
+        nested: call_tracker.NestedCallTracker,
         metrics: request_metrics.RequestMetrics,
         quarantine: interfaces.Quarantine,
         recorder: decisions.Recorder,
@@ -211,13 +211,13 @@
         )
         call = hops.to_call(hop, request, None, now + remaining_s)
         goal = now + hop.goal_ms / MS if hop.goal_ms >= 0 else now
-        want = waiting.Want(
+        slot_request = waiting.Want(
             hop.key, hop.route, call.deadline, goal, hop.priority, hop.nested
         )
-        trial = self._is_trial(hop, slots, want, now)
+        trial = self._is_trial(hop, slots, slot_request, now)
         self._charge_retry(hop, now)
         try:
-            waited_s = await self._wait(hop, instance, want)
+            waited_s = await self._wait(hop, instance, slot_request)
             call, source = await self._with_body(
                 hop, slots, call, receive_body
             )
@@ -272,13 +272,16 @@
                 release()
 
     async def _wait(
-        self, hop: hops.Hop, instance: instances.Instance, want: waiting.Want
+        self,
+        hop: hops.Hop,
+        instance: instances.Instance,
+        slot_request: waiting.Want,
     ) -> float:
         """Wait for a slot; return the time that it took, seconds.
 
         :raises slots.Refused: when no slot will be free in time.
         """
-        waited_s = await instance.slots.acquire(want, hop.may_wait)
+        waited_s = await instance.slots.acquire(slot_request, hop.may_wait)
         if self.instances.get(hop.upstream) is not instance:
             # The instance ended while the request waited for its slot.
             instance.slots.release(hop.key)
@@ -312,7 +315,7 @@
         self,
         hop: hops.Hop,
         slots: slots_module.Slots,
-        want: waiting.Want,
+        slot_request: waiting.Want,
         now: float,
     ) -> bool:
         """Return whether the request runs here as a trial of the upstream.
@@ -329,7 +332,7 @@
             hop.service_healthy,
             hop.typical_ms / MS,
         )
-        answer = slots.gate.answer(offer, want, now)
+        answer = slots.gate.answer(offer, slot_request, now)
         if answer.reason:
             raise slots_module.Refused(answer.reason, answer.detail)
         return answer.trial
@@ -377,8 +380,8 @@
         :raises slots.Refused: when the budget is used up; its slot is
             released.
         """
-        payer = self.nested_calls.payer
-        if hop.repeat and not payer.pay(hop.id, hop.service, clock.now()):
+        budget = self.nested_calls.budget
+        if hop.repeat and not budget.pay(hop.id, hop.service, clock.now()):
             slots.release(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
 
--- a/carawaystair/gateway/gateway_client.py
+++ b/carawaystair/gateway/gateway_client.py
@@ -62,7 +62,7 @@
         self.host = host
         self.path_monitor = path_monitor
         self.pool = pool
-        self.board = pool.board
+        self.selector = pool.selector
         self.process_of = process_of
         self.recorder = recorder
         self.clock_offsets = transit.ClockOffsets()
@@ -87,8 +87,8 @@
         :raises answers.Failed: when there is no answer.
         """
         process = self.process_of(target.upstream.host)
-        typical_s = self.board.durations.of(dispatch.call.match.key)
-        service_healthy = not self.pool.spreadings[
+        typical_s = self.selector.durations.of(dispatch.call.match.key)
+        service_healthy = not self.pool.explorations[
             dispatch.params.service
         ].everywhere
         first = dispatch.hop(
@@ -101,9 +101,9 @@
             typical_s,
             process,
         )
-        view = self.board.view(target.upstream.id)
+        state = self.selector.view(target.upstream.id)
         attempt = self._new_attempt(
-            dispatch, target, first, not view.reachable
+            dispatch, target, first, not state.reachable
         )
         lost = dispatches.LostConnection(target, process, budgeted)
         timeout_s = (
@@ -305,7 +305,7 @@
             observer.on_sign_of_life(attempt)
             if (
                 attempt.sign_count >= SIGNS_BEFORE_BODY
-                and not self.board.knows(attempt.hop.upstream)
+                and not self.selector.knows(attempt.hop.upstream)
             ):
                 attempt.send_body()
 
@@ -352,7 +352,7 @@
         if report is not None and report.process:
             now = clock.now()
             route = attempt.hop.route
-            self.board.heard(target.upstream.id, report, now, route)
+            self.selector.heard(target.upstream.id, report, now, route)
             if report.read_ms:
                 offset = self.clock_offsets.of(
                     target.upstream.host, report.process
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -47,7 +47,7 @@
     def mark_unreachable(self, target: targets.Target) -> None:
         """Mark a gateway as not directly reachable and probe its path."""
         name = target.upstream.id
-        self.pool.board.view(name).reachable = False
+        self.pool.selector.view(name).reachable = False
         connections.close_idle(target)
         if name not in self.probing:
             self.probing.add(name)
@@ -65,25 +65,25 @@
                     return
         finally:
             self.probing.discard(name)
-            self.pool.board.view(name).reachable = True
+            self.pool.selector.view(name).reachable = True
 
     def intermediary(self, target: targets.Target) -> targets.Target | None:
         """Return a gateway of a third host for a detour.
 
         Prefers the gateways from which an answer came most recently.
         """
-        board = self.pool.board
+        selector = self.pool.selector
         others = [
             other
             for other in self.pool.targets.values()
             if other.upstream.host not in (target.upstream.host, self.host)
             and other.upstream.state != interfaces.GONE
-            and board.view(other.upstream.id).reachable
+            and selector.view(other.upstream.id).reachable
         ]
         if not others:
             return None
         others.sort(
-            key=lambda other: board.view(other.upstream.id).at, reverse=True
+            key=lambda other: selector.view(other.upstream.id).at, reverse=True
         )
         return self.rng.choice(others[:4])
 
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -7,12 +7,12 @@
 
 from carawaystair import clock
 from carawaystair import decisions
+from carawaystair.gateway import call_tracker
 from carawaystair.gateway import caller_handler
 from carawaystair.gateway import dispatcher as dispatchers
 from carawaystair.gateway import executor as executors
 from carawaystair.gateway import gateway_client
 from carawaystair.gateway import hop_handler
-from carawaystair.gateway import nested_calls
 from carawaystair.gateway import pacer as pacers
 from carawaystair.gateway import paths
 from carawaystair.gateway import request_metrics
@@ -75,7 +75,7 @@
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        nested = nested_calls.NestedCalls(nesting.Payer(retry_budgets))
+        nested = call_tracker.NestedCallTracker(nesting.Payer(retry_budgets))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
         self.pool = upstream_pool.UpstreamPool(
             settings.data_centre,
@@ -150,7 +150,7 @@
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the upstreams that were last reported as failing."""
-        views = self.pool.board.views
+        views = self.pool.selector.views
         return frozenset(
             upstream.id
             for upstream in self.membership.directory.upstreams(service)
@@ -189,10 +189,10 @@
             )
             idle_s = slots.gate.idle_s(clock.now())
             yield metrics.Sample('gateway_idle_seconds', idle_s, labels)
-        for service, spread in self.pool.spreadings.items():
+        for service, exploration in self.pool.explorations.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'service_failing_share', spread.failing, labels
+                'service_failing_share', exploration.failing, labels
             )
         for service, budget in self.dispatcher.retry_budgets.budgets.items():
             labels = (('service', service),)
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -39,21 +39,25 @@
         self.queue = self.gate.line
         self.waiters: dict[str, asyncio.Future] = {}
 
-    async def acquire(self, want: waiting.Want, may_wait: bool) -> float:
+    async def acquire(
+        self, slot_request: waiting.Want, may_wait: bool
+    ) -> float:
         """Wait for a slot; return the time that it took, seconds.
 
         :raises Refused: when no slot will be free in time.
         """
         began = clock.now()
-        verdict = self.queue.ask(want, began, may_wait)
+        verdict = self.queue.ask(slot_request, began, may_wait)
         if verdict.reason:
             raise Refused(verdict.reason, 'wait %.2f s' % verdict.wait_s)
         if verdict.starts:
             return 0.0
         loop = asyncio.get_running_loop()
-        future = self.waiters[want.id] = loop.create_future()
+        future = self.waiters[slot_request.id] = loop.create_future()
         timer = loop.call_at(
-            self.queue.last_start(want, began), self._expire, want.id
+            self.queue.last_start(slot_request, began),
+            self._expire,
+            slot_request.id,
         )
         try:
             if not await future:
@@ -61,12 +65,12 @@
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
                 # The slot was assigned at the moment of cancellation.
-                self.release(want.id)
+                self.release(slot_request.id)
             raise
         finally:
             timer.cancel()
-            self.queue.leave(want.id)
-            self.waiters.pop(want.id, None)
+            self.queue.leave(slot_request.id)
+            self.waiters.pop(slot_request.id, None)
         return clock.now() - began
 
     def release(self, request: str) -> None:
--- a/carawaystair/gateway/upstream_pool.py
+++ b/carawaystair/gateway/upstream_pool.py
@@ -53,9 +53,9 @@
         self.data_centre = data_centre
         self.directory = directory
         self.routing = routing
-        self.board = placing.Board(rng)
+        self.selector = placing.Board(rng)
         self.targets: dict[str, targets.Target] = {}
-        self.spreadings: collections.defaultdict = collections.defaultdict(
+        self.explorations: collections.defaultdict = collections.defaultdict(
             spreading.Spreading
         )
         directory.subscribe(self.on_upstream_changed)
@@ -81,16 +81,16 @@
             connections.close_idle(target)
             target.upstream = old._replace(state=interfaces.GONE)
             del self.targets[new.id]
-            self.board.forget(new.id)
+            self.selector.forget(new.id)
             return
         if old.incarnation != new.incarnation:
             target.seen = clock.now()
-            self.board.renew(new.id, new.incarnation)
+            self.selector.renew(new.id, new.incarnation)
         target.upstream = new
 
     def record_outcome(self, service: str, good: bool) -> None:
         """Record whether a run of a service succeeded."""
-        self.spreadings[service].learn(good)
+        self.explorations[service].learn(good)
 
     def sweep(self, now: float) -> None:
         """Close connections that have been idle for too long."""
@@ -115,7 +115,7 @@
             target.pacer = self.pacer
             self.targets[upstream.id] = target
             # Reports of an incarnation on another host may still arrive.
-            self.board.renew(upstream.id, upstream.incarnation)
+            self.selector.renew(upstream.id, upstream.incarnation)
         return target
 
     def choose(
@@ -150,9 +150,9 @@
         candidates = [
             self._candidate(upstream, now) for upstream in usable.values()
         ]
-        spread = first and self.spreadings[service].everywhere
+        explore = first and self.explorations[service].everywhere
         trial = first and not need.last
-        chosen = self.board.choose(
+        chosen = self.selector.choose(
             candidates,
             tried,
             refused,
@@ -161,7 +161,7 @@
             route,
             size,
             trial,
-            spread,
+            explore,
         )
         if chosen is None:
             return None
--- a/test/test_gateway_lifetimes.py
+++ b/test/test_gateway_lifetimes.py
@@ -239,11 +239,11 @@
             budget = executor.retry_budgets.of('portal')
             fleet.nodes[1].announce(incarnation=9, slots=2)
             after = executor.report(name)
-            board = fleet.nodes[0].service.pool.board
-            view = board.views.get(name)
+            selector = fleet.nodes[0].service.pool.selector
+            state = selector.views.get(name)
             ejected = fleet.nodes[0].service.ejected('portal')
             kept = executor.retry_budgets.of('portal') is budget
-            return before, after, view and view.report, ejected, kept
+            return before, after, state and state.report, ejected, kept
 
     before, after, seen, ejected, kept = pipes.run(scenario())
     assert before.suspect
@@ -282,29 +282,29 @@
     A gateway reports on the previous instance, and the announcement of the
     new one arrives before the report.
     """
-    board = placing.Board(random.Random(1))
-    board.heard('a', REPORT._replace(incarnation=5), 1.0)
-    board.renew('a', 9)
-    assert board.view('a').report is None
-    board.heard('a', REPORT._replace(incarnation=5), 2.0)
-    assert board.view('a').report is None
+    selector = placing.Board(random.Random(1))
+    selector.heard('a', REPORT._replace(incarnation=5), 1.0)
+    selector.renew('a', 9)
+    assert selector.view('a').report is None
+    selector.heard('a', REPORT._replace(incarnation=5), 2.0)
+    assert selector.view('a').report is None
     fresh = REPORT._replace(suspect=False, incarnation=9)
-    board.heard('a', fresh, 3.0)
-    board.heard('a', REPORT._replace(incarnation=5), 4.0)
-    assert board.view('a').report == fresh
+    selector.heard('a', fresh, 3.0)
+    selector.heard('a', REPORT._replace(incarnation=5), 4.0)
+    assert selector.view('a').report == fresh
 
 
 def test_report_of_a_new_instance_replaces_what_was_known():
     """The gateway may know the new instance before the directory does."""
-    board = placing.Board(random.Random(1))
-    board.heard('a', REPORT._replace(incarnation=5), 1.0)
-    former = board.view('a')
+    selector = placing.Board(random.Random(1))
+    selector.heard('a', REPORT._replace(incarnation=5), 1.0)
+    former = selector.view('a')
     former.mine = 3
     fresh = REPORT._replace(suspect=False, incarnation=9)
-    board.heard('a', fresh, 2.0)
-    board.renew('a', 9)
-    assert board.view('a').report == fresh
-    assert board.view('a').mine == 0
+    selector.heard('a', fresh, 2.0)
+    selector.renew('a', 9)
+    assert selector.view('a').report == fresh
+    assert selector.view('a').mine == 0
 
 
 def upstream(**changes):
@@ -368,8 +368,8 @@
         assert other.upstream == second
         # A report on the previous instance arrives late.
         late = REPORT._replace(incarnation=5)
-        pool.board.heard('a', late, clock.now())
-        assert pool.board.view('a').report is None
+        pool.selector.heard('a', late, clock.now())
+        assert pool.selector.view('a').report is None
 
     fakes.run(_run())
 
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from carawaystair.gateway import nested_calls
+from carawaystair.gateway import call_tracker
 from carawaystair.load import nesting
 from carawaystair.load import retrying
 from test import gateway_setup as fleets
@@ -217,7 +217,7 @@
 
 def test_nested_calls_have_the_priority_of_the_waiting_request():
     budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
-    nested = nested_calls.NestedCalls(nesting.Payer(budgets))
+    nested = call_tracker.NestedCallTracker(nesting.Payer(budgets))
     nested.run_started('a', 's', 2, False)
     assert nested.running_parent('a.1') == 'a'
     assert nested.rank('a.1', 1) == 2
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -193,11 +193,11 @@
         options = {'retry_ratio': 0.0, 'retry_slack': LARGE_SLACK}
         async with fleets.running(*scripts, **options) as fleet:
             for node in fleet.nodes:
-                payer = node.service.executor.nested_calls.payer
-                payer.refused('other', clock.now())
-                payer.counts.ran('portal')
+                budget = node.service.executor.nested_calls.budget
+                budget.refused('other', clock.now())
+                budget.counts.ran('portal')
                 for _call in range(LARGE_SLACK):
-                    payer.counts.called('portal', 'other')
+                    budget.counts.called('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
             return refusal_reasons(fleet), repeat_counts(fleet)
