--- a/carawaystair/gateway/hop_handler.py
+++ b/carawaystair/gateway/hop_handler.py
@@ -129,9 +129,9 @@
             keep_alive = await self._forward(hop, request, answer, throttle)
         finally:
             throttle.close()
-        if throttle.ahead_s is not None:
+        if throttle.backlog_s is not None:
             self._record_paced(
-                hop, answer, throttle.ahead_s, ready_at, first_at
+                hop, answer, throttle.backlog_s, ready_at, first_at
             )
         return keep_alive
 
@@ -139,7 +139,7 @@
         self,
         hop: hops.Hop,
         answer: answers.Answer,
-        ahead_s: float,
+        backlog_s: float,
         ready_at: float,
         first_at: float,
     ) -> None:
@@ -151,7 +151,7 @@
             len(answer.body),
             int((first_at - ready_at) * MS),
             int((clock.now() - ready_at) * MS),
-            int(ahead_s * MS),
+            int(backlog_s * MS),
         )
         late = first_at - ready_at > LONG_PACING_S
         category = decisions.TROUBLE if late else decisions.ROUTINE
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -11,9 +11,9 @@
 class Throttle(typing.Protocol):
     """Limits the rate at which one body is sent to another node."""
 
-    # How far ahead the link was booked before this body, seconds; None if
-    # the body was not throttled.
-    ahead_s: float | None
+    # Backlog of the link before this body, seconds; None if the body was not
+    # throttled.
+    backlog_s: float | None
 
     async def wait_first(self, size: int) -> None:
         """Wait until the first bytes may be sent.
@@ -31,7 +31,7 @@
 class Unthrottled:
     """Sends at once, without a limit."""
 
-    ahead_s: float | None = None
+    backlog_s: float | None = None
 
     async def wait_first(self, size: int) -> None:
         """Return at once."""
@@ -55,33 +55,35 @@
 
     def __init__(self, pacer: 'Pacer') -> None:
         self.pacer = pacer
-        # Place of the body among those that share the link.
-        self.place: pacing.Place | None = None
+        # Position of the body among those that share the link.
+        self.position: pacing.Place | None = None
         # Bytes that may be sent now.
         self.granted_bytes = 0
-        self.ahead_s: float | None = None
+        self.backlog_s: float | None = None
 
     async def wait_first(self, size: int) -> None:
         """Wait until the first bytes may be sent."""
         if size > pacing.SHORT_BYTES:
             now = clock.now()
-            self.ahead_s = self.pacer.link.ahead_s(now)
-            self.place = self.pacer.link.place(size, now)
-            self.granted_bytes = await self.pacer.wait_turn(self.place, size)
+            self.backlog_s = self.pacer.link.ahead_s(now)
+            self.position = self.pacer.link.place(size, now)
+            self.granted_bytes = await self.pacer.wait_turn(
+                self.position, size
+            )
 
     async def chunks(self, data: bytes) -> typing.AsyncIterator[bytes]:
         """Yield data in chunks, each as soon as it may be sent."""
-        place, self.place = self.place, None
-        if place is None and len(data) <= pacing.SHORT_BYTES:
+        position, self.position = self.position, None
+        if position is None and len(data) <= pacing.SHORT_BYTES:
             yield data
             return
-        if place is None:
-            place = self.pacer.link.place(len(data), clock.now())
+        if position is None:
+            position = self.pacer.link.place(len(data), clock.now())
         start = 0
         while start < len(data):
             if not self.granted_bytes:
                 self.granted_bytes = await self.pacer.wait_turn(
-                    place, len(data) - start
+                    position, len(data) - start
                 )
             chunk = data[start : start + self.granted_bytes]
             start += len(chunk)
@@ -114,37 +116,37 @@
             return UNTHROTTLED
         return LinkThrottle(self)
 
-    async def wait_turn(self, place: pacing.Place, size: int) -> int:
+    async def wait_turn(self, position: pacing.Place, size: int) -> int:
         """Wait for a turn; return how many bytes may be sent.
 
-        :param place: place of the body among those that share the link.
+        :param position: position of the body among those that share the link.
         :param size: bytes that are left to send.
         """
-        turn = self.link.ask(place, size)
+        queued = self.link.ask(position, size)
         future = asyncio.get_running_loop().create_future()
-        self.futures[turn.place.number] = future
+        self.futures[queued.place.number] = future
         self._grant_turns()
         try:
             return await future
         except asyncio.CancelledError:
             if future.cancelled():
-                turn.left = True
+                queued.left = True
             else:
                 self.link.give_back(future.result())
                 self._grant_turns()
             raise
         finally:
-            self.futures.pop(turn.place.number, None)
+            self.futures.pop(queued.place.number, None)
 
     def _grant_turns(self) -> None:
         """Grant turns while the link has room, and schedule the next check."""
         now = clock.now()
-        while (turn := self.link.first(now)) is not None:
-            future = self.futures[turn.place.number]
+        while (queued := self.link.first(now)) is not None:
+            future = self.futures[queued.place.number]
             # A waiter that was cancelled in this iteration of the event loop
             # has not marked its turn as left yet.
             if not future.done():
-                future.set_result(self.link.take(turn.size, now))
+                future.set_result(self.link.take(queued.size, now))
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
