--- a/carawaystair/gateway/caller_handler.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -18,15 +18,15 @@
 from carawaystair import interfaces
 from carawaystair import manifest
 from carawaystair.request import answer as answers
+from carawaystair.request import base_handler
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import digests
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import handling
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import meters as meters_module
+from carawaystair.request import validation
 from carawaystair import routing as routings
 from carawaystair import rows
 from carawaystair import settings as settings_module
@@ -41,7 +41,7 @@
 UNKNOWN_STATUS = 502
 
 
-class CallerHandler(handling.Handling):
+class CallerHandler(base_handler.BaseHandler):
     """Answers callers; one for each node.
 
     :param settings: settings of the process.
@@ -98,16 +98,16 @@
             )
         )
 
-    def bounds(self) -> incoming.Bounds:
+    def bounds(self) -> http_server.Bounds:
         """Return the limits on callers' requests, as configured."""
         limits = self.routing().limits
-        return incoming.Bounds(
+        return http_server.Bounds(
             limits.max_header_bytes,
             limits.header_timeout_ms / MS,
             limits.idle_timeout_ms / MS,
         )
 
-    def may_run_ahead(self, request: incoming.Request) -> bool:
+    def may_pipeline(self, request: http_server.Request) -> bool:
         """Return whether a pipelined request may run before its predecessors.
 
         Non-idempotent requests may not: if an earlier answer closes the
@@ -116,11 +116,11 @@
         they would hold a slot for data that can't be sent yet.  A node that
         stops starts nothing ahead of time.
         """
-        if self.ends is not None or not self._has_no_body(request):
+        if self.stop_deadline is not None or not self._has_no_body(request):
             return False
         try:
-            place = caller.target(request)
-        except caller.Refused:
+            place = validation.read_target(request)
+        except validation.Refused:
             return False
         path = place.path.partition('?')[0]
         match = self.routing().match(place.host, path)
@@ -130,31 +130,31 @@
             and self._idempotent(match.route, request)
         )
 
-    def _has_no_body(self, request: incoming.Request) -> bool:
-        return bodies.declared(request) == 0 and (
+    def _has_no_body(self, request: http_server.Request) -> bool:
+        return bodies.declared_length(request) == 0 and (
             'Expect' not in request.headers
         )
 
     def _idempotent(
-        self, route: manifest.Route, request: incoming.Request
+        self, route: manifest.Route, request: http_server.Request
     ) -> bool:
         if route.idempotent is None:
-            return request.method not in caller.NON_IDEMPOTENT
+            return request.method not in validation.NON_IDEMPOTENT
         return route.idempotent
 
-    def _name(self, request: incoming.Request) -> str:
+    def _new_request_id(self, request: http_server.Request) -> str:
         """Return the caller's id of a request, or a generated one."""
         given = request.headers.get(self.header_names.request_id, '')
         return (
             given
             if REQUEST_ID_PATTERN.fullmatch(given)
-            else super()._name(request)
+            else super()._new_request_id(request)
         )
 
     async def _answer(
-        self, request: incoming.Request, exchange: exchanges.Exchange
+        self, request: http_server.Request, exchange: exchanges.Exchange
     ) -> None:
-        started_at = request.arrived
+        started_at = request.arrived_at
         await self.startup_wait.wait(self._configured, math.inf)
         routing = self.routing()
         if routing.version != self.version:
@@ -162,14 +162,14 @@
         try:
             self._check_serving(routing, started_at)
             dispatch = await self._read(request, exchange, routing, started_at)
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             self._record_rejected(request, exchange.id, refused)
             raise
         task = asyncio.current_task()
         self.tasks.add(task)
         try:
             await self._forward(dispatch, exchange, started_at)
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             outcome = codes.NOT_RUN
             self._record_answer(
                 dispatch, outcome, started_at, refused.code, refused.detail
@@ -222,24 +222,24 @@
     def _check_serving(self, routing: routings.Routing, now: float) -> None:
         """Refuse requests without a configuration and after a stop."""
         if routing.version == rows.NONE:
-            raise caller.Refused(codes.NOT_READY)
+            raise validation.Refused(codes.NOT_READY)
         if self.accept_until is not None and now > self.accept_until:
-            raise caller.Refused(codes.LEAVING)
+            raise validation.Refused(codes.LEAVING)
 
     # Reading
 
     async def _read(
         self,
-        request: incoming.Request,
+        request: http_server.Request,
         exchange: exchanges.Exchange,
         routing: routings.Routing,
         now: float,
     ) -> dispatches.Dispatch:
         """Read a request.
 
-        :raises caller.Refused: when it is invalid or has no route.
+        :raisesvalidation.Refused: when it is invalid or has no route.
         """
-        place = caller.target(request)
+        place = validation.read_target(request)
         match = routing.match(place.host, place.path.partition('?')[0])
         if match is None:
             raise self._no_route()
@@ -252,11 +252,11 @@
         service = service._replace(max_body=most)
         match = routings.Match(match.key, route, service)
         call = self._call(request, exchange, place, match, now)
-        length = bodies.declared(request)
+        length = bodies.declared_length(request)
         if length != 0 or 'Expect' in request.headers:
-            call = await self._take_body(request, call, exchange, length)
+            call = await self._read_body(request, call, exchange, length)
         credentials = request.headers.get('Authorization', '')
-        call = digests.named(call, place.host, credentials)
+        call = digests.with_digest(call, place.host, credentials)
         goal_s = route.goal_ms / MS if route.goal_ms else call.deadline - now
         parent = self.nested_calls.running_parent(call.id)
         params = dispatches.Params(
@@ -274,16 +274,16 @@
 
     def _call(
         self,
-        request: incoming.Request,
+        request: http_server.Request,
         exchange: exchanges.Exchange,
-        place: caller.Target,
+        place: validation.RequestTarget,
         match: routings.Match,
         now: float,
     ) -> calls.Call:
         route = match.route
         idempotent = self._idempotent(route, request)
         most_ms = route.timeout_ms or match.service.timeout_ms
-        left_ms = caller.budget_ms(
+        left_ms = validation.read_timeout_ms(
             request.headers, match.service, self.header_names.deadline_ms
         )
         return calls.Call(
@@ -299,7 +299,9 @@
             self._head(request, place),
         )
 
-    def _head(self, request: incoming.Request, place: caller.Target) -> bytes:
+    def _head(
+        self, request: http_server.Request, place: validation.RequestTarget
+    ) -> bytes:
         """Return the request line and headers for the upstream."""
         raw = [
             pair
@@ -309,7 +311,9 @@
         if place.authority:
             raw = [pair for pair in raw if pair[0].lower() != b'host']
             raw.append((b'Host', place.authority.encode()))
-        return headers.head(request.method, place.path, request.headers, raw)
+        return headers.request_head(
+            request.method, place.path, request.headers, raw
+        )
 
     # Answering
 
@@ -322,15 +326,15 @@
         answer = await self.dispatcher.send(dispatch)
         why = ''
         if answer.rest is None:
-            exchange.whole(answer, codes.OK)
-            await exchange.drained()
+            exchange.write_answer(answer, codes.OK)
+            await exchange.wait_drained()
         else:
             why = await streaming.stream(answer.rest, answer, exchange)
         if why:
             exchange.keep_alive = False
-            self.meters.cut(dispatch.call.id, why)
+            self.meters.record_broken(dispatch.call.id, why)
         else:
-            self.meters.complete(clock.now() - started_at)
+            self.meters.record_complete(clock.now() - started_at)
         if dispatch.params.nested and answer.status >= 500:
             self.nested_calls.call_failed(dispatch.call.id)
         code = codes.ANSWER_LOST if why else codes.OK
@@ -359,7 +363,7 @@
             and dispatch.params.caller_repeated
             and dispatch.over_budget
         ):
-            self.nested_calls.budget.refused(service, clock.now())
+            self.nested_calls.budget.record_refusal(service, clock.now())
         self.recorder.tell(
             decisions.Answered(
                 dispatch.call.id,
@@ -377,7 +381,10 @@
         )
 
     def _record_rejected(
-        self, request: incoming.Request, name: str, refused: caller.Refused
+        self,
+        request: http_server.Request,
+        name: str,
+        refused: validation.Refused,
     ) -> None:
         self.recorder.tell(
             decisions.Rejected(
@@ -398,11 +405,11 @@
     def _record_left(
         self,
         dispatch: dispatches.Dispatch,
-        request: incoming.Request,
+        request: http_server.Request,
         started_at: float,
     ) -> None:
         total_ms = int((clock.now() - started_at) * MS)
-        closed_by = 'caller' if request.connection.left else 'node'
+        closed_by = 'caller' if request.connection.closed_by_caller else 'node'
         self.recorder.tell(
             decisions.Left(
                 dispatch.call.id, dispatch.offers, total_ms, closed_by
@@ -410,7 +417,7 @@
             decisions.TROUBLE,
         )
 
-    def _write_refusal(
+    def _write_error(
         self,
         exchange: exchanges.Exchange,
         code: codes.Code,
@@ -424,7 +431,7 @@
         after 502 or 504 that the request may have run.
         """
         status = _status(code, outcome)
-        exchange.refuse(code, outcome, detail, retry_after_s, status)
+        exchange.write_error(code, outcome, detail, retry_after_s, status)
 
 
 def _status(code: codes.Code, outcome: str) -> int:
--- a/carawaystair/gateway/detours.py
+++ b/carawaystair/gateway/detours.py
@@ -7,26 +7,26 @@
 from carawaystair.gateway import send_attempts
 from carawaystair.gateway import streaming
 from carawaystair import interfaces
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
-from carawaystair.request import caller
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import target as targets
+from carawaystair.request import validation
 
 MS = 1000
 # Bodies on detours are buffered whole; longer ones are not sent this way.
-MAX_BODY_BYTES = bodies.HOLD_BYTES
+MAX_BODY_BYTES = bodies.MAX_BUFFERED_BYTES
 # Report of a node that knows nothing of the upstream.
-NO_REPORT = placing.Report('', False, 0, 0, 0, 0, 0, 0)
+NO_REPORT = upstream_selection.LoadReport('', False, 0, 0, 0, 0, 0, 0)
 
 LOG = logs.get('gateway')
 
 
 async def forward(
-    hop: hops.Hop, request: incoming.Request, pacer: pacers.Pacer
+    hop: hops.Hop, request: http_server.Request, pacer: pacers.Pacer
 ) -> bool:
     """Forward a request to its gateway and the answer to its sender.
 
@@ -42,7 +42,7 @@
         body = await bodies.read(
             request.content, MAX_BODY_BYTES, MAX_BODY_BYTES, deadline
         )
-    except caller.Refused:
+    except validation.Refused:
         return False
     onward = hop._replace(detour='')
     call = hops.to_call(hop, request, body.data, deadline)
@@ -76,7 +76,7 @@
 
 
 def _end_attempt(
-    attempt: send_attempts.GatewayAttempt, request: incoming.Request
+    attempt: send_attempts.GatewayAttempt, request: http_server.Request
 ) -> None:
     """End the onward connection in the way in which the inbound one ended.
 
@@ -98,7 +98,7 @@
 
 async def _forward_answer(
     hop: hops.Hop,
-    request: incoming.Request,
+    request: http_server.Request,
     attempt: send_attempts.GatewayAttempt,
     answer: answers.Answer,
     throttle: pacers.Throttle,
@@ -107,13 +107,13 @@
         answer, hops.REFUSAL
     ) or hops.header_value(answer, hops.FAILURE)
     if from_gateway:
-        attempt.drop()
+        attempt.abort()
         hops.write(request, hops.forwarded(answer))
         return request.keep_alive
     exchange = exchanges.Exchange(request, hop.id)
     extra_headers = hops.node_header_lines(answer.headers)
     if answer.rest is None:
-        attempt.drop()
+        attempt.abort()
         await streaming.write_whole(answer, exchange, extra_headers, throttle)
         return exchange.keep_alive
     why = await streaming.stream(
--- a/carawaystair/gateway/dispatcher.py
+++ b/carawaystair/gateway/dispatcher.py
@@ -22,15 +22,15 @@
 from carawaystair.gateway import startup
 from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import retrying
-from carawaystair.load import returning
-from carawaystair.load import valuing
+from carawaystair.load import rejection
+from carawaystair.load import request_value
+from carawaystair.load import retry_after
+from carawaystair.load import retry_budget
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 from carawaystair.request import answer as answers
-from carawaystair.request import caller
 from carawaystair.request import target as targets
+from carawaystair.request import validation
 
 # Gateways that are asked before a request waits at one of them.
 MAX_GATEWAYS_ASKED = 6
@@ -54,7 +54,7 @@
 MS = 1000
 # Reasons for a refusal that may not hold any more when the gateway is asked
 # again.
-REASONS_TO_WAIT = frozenset((rejecting.BUSY, gate.RISKY))
+REASONS_TO_WAIT = frozenset((rejection.BUSY, upstream_gate.RISKY))
 
 
 class Dispatcher:
@@ -74,7 +74,7 @@
         pool: upstream_pool.UpstreamPool,
         client: gateway_client.GatewayClient,
         startup_wait: startup.StartupWait,
-        retry_budgets: retrying.Budgets,
+        retry_budgets: retry_budget.Budgets,
         quarantine: interfaces.Quarantine,
         rng: random.Random,
         recorder: decisions.Recorder,
@@ -95,13 +95,15 @@
     async def send(self, dispatch: dispatches.Dispatch) -> answers.Answer:
         """Return the answer to a request.
 
-        :raises caller.Refused: when it was not run and will not be.
+        :raises validation.Refused: when it was not run and will not be.
         :raises answers.Failed: when it may have run.
         """
         if not self.quarantine.may_begin(dispatch.call.digest):
             raise self._crash_refusal(dispatch)
         if not dispatch.params.caller_repeated:
-            self.retry_budgets.of(dispatch.params.service).first(clock.now())
+            self.retry_budgets.for_service(dispatch.params.service).record_first_send(
+                clock.now()
+            )
         while self._may_send(dispatch) and dispatch.offers < MAX_OFFERS:
             choice = await self._next_choice(dispatch)
             if choice is None:
@@ -155,7 +157,7 @@
         digest = dispatch.call.digest
         if dispatch.crashing or self.quarantine.refuses(digest):
             return False
-        if dispatch.runs and not self.quarantine.may_repeat(digest):
+        if dispatch.runs and not self.quarantine.may_retry(digest):
             return False
         runs = dispatch.params.max_runs
         return dispatch.runs < runs and dispatch.sent < max(
@@ -221,18 +223,20 @@
         report = declined.report
         if report is None:
             return clock.now() >= dispatch.call.deadline
-        return rejecting.hopeless(
+        return rejection.would_miss(
             clock.now(),
             report.wait_ms / MS,
             (report.route_ms or report.service_ms) / MS,
             dispatch.call.deadline,
         )
 
-    def _crash_refusal(self, dispatch: dispatches.Dispatch) -> caller.Refused:
+    def _crash_refusal(self, dispatch: dispatches.Dispatch) -> validation.Refused:
         """Return the refusal of a request that crashes upstreams."""
-        return caller.crashes(self.quarantine.standing(dispatch.call.digest))
+        return validation.crash_refusal(
+            self.quarantine.standing(dispatch.call.digest)
+        )
 
-    def _rejection(self, dispatch: dispatches.Dispatch) -> caller.Refused:
+    def _rejection(self, dispatch: dispatches.Dispatch) -> validation.Refused:
         """Return the refusal for a request that was not run."""
         reports = [
             declined.report
@@ -240,14 +244,14 @@
             if declined.report is not None
         ]
         backlog_s = min((r.wait_ms / MS for r in reports), default=0.0)
-        after_s = returning.retry_after_s(backlog_s, self.rng)
+        after_s = retry_after.retry_after_s(backlog_s, self.rng)
         if not dispatch.refused_by:
-            return caller.Refused(codes.NO_UPSTREAM, '', after_s)
+            return validation.Refused(codes.NO_UPSTREAM, '', after_s)
         reasons = sorted({d.reason for _t, d in dispatch.refused_by.values()})
-        full = rejecting.FULL in reasons
+        full = rejection.FULL in reasons
         code = codes.QUEUE_FULL if full else codes.DEADLINE_SHORT
         detail = 'least wait %.2f s, %s' % (backlog_s, ', '.join(reasons))
-        return caller.Refused(code, detail, after_s)
+        return validation.Refused(code, detail, after_s)
 
     # One gateway
 
@@ -274,9 +278,9 @@
         if dispatch.final_attempt or dispatch.call.body is None:
             return await first
         after_s = math.inf
-        if durations.knows(key):
+        if durations.has(key):
             after_s = max(
-                HEDGE_DELAY_FACTOR * durations.of(key), MIN_HEDGE_DELAY_S
+                HEDGE_DELAY_FACTOR * durations.expected(key), MIN_HEDGE_DELAY_S
             )
         dispatch.hedge_early = asyncio.get_running_loop().create_future()
         return await hedging.hedged(
@@ -320,16 +324,16 @@
         name = upstream.id
         dispatch.offers += 1
         offer = self._offer_event(dispatch, upstream, usable_count, min_value)
-        state = self.selector.view(name)
-        state.mine += 1
+        state = self.selector.state(name)
+        state.in_flight += 1
         began = clock.now()
-        budget = self.retry_budgets.of(dispatch.params.service)
+        budget = self.retry_budgets.for_service(dispatch.params.service)
         # A nested call of a repeat is itself a repeat, unless it was charged
         # to the budget before that run began.
         needs_budget = dispatch.sent > 0 or (
             dispatch.params.caller_repeated and not dispatch.params.budgeted
         )
-        charged = needs_budget and budget.repeat(began, 1)
+        charged = needs_budget and budget.take_retry(began, 1)
         budgeted = charged or (dispatch.params.budgeted and dispatch.sent == 0)
         try:
             answer = await self.client.send(
@@ -338,7 +342,7 @@
         except dispatches.Declined as declined:
             reached = declined.reason in hops.SENT_TO_UPSTREAM
             if charged and not reached:
-                budget.give_back(began)
+                budget.refund(began)
             dispatch.mark_not_run(name, reached)
             self._record_declined(dispatch, target, declined)
             return None
@@ -347,7 +351,7 @@
             self._record_broken(dispatch, name, failed, began)
             if not failed.sent:
                 if charged:
-                    budget.give_back(began)
+                    budget.refund(began)
                 dispatch.mark_not_run(name, False)
                 dispatch.unreached.append(target)
                 return None
@@ -358,9 +362,10 @@
                 raise
             return None
         finally:
-            state.mine -= 1
+            state.in_flight -= 1
         bad = answer.status >= 500
-        self.selector.sizes.add(dispatch.call.match.key, answers.size(answer))
+        self.selector.answer_sizes.record(dispatch.call.match.key, answers.body_size(answer)
+        )
         self.pool.record_outcome(dispatch.params.service, not bad)
         self.recorder.tell(
             offer, decisions.TROUBLE if bad else decisions.ROUTINE
@@ -414,9 +419,11 @@
     ) -> decisions.Offered:
         """Return the event of an offer, with what is known before it."""
         now = clock.now()
-        state = self.selector.view(upstream.id)
+        state = self.selector.state(upstream.id)
         known = state.report is not None
-        candidate = placing.Candidate(upstream.id, False, upstream.slots)
+        candidate = upstream_selection.Candidate(
+            upstream.id, False, upstream.slots
+        )
         params = dispatch.params
         return decisions.Offered(
             dispatch.call.id,
@@ -429,7 +436,7 @@
             dispatch.call.idempotent,
             params.nested,
             min_value is None,
-            int((now - state.at) * MS) if known else -1,
+            int((now - state.reported_at) * MS) if known else -1,
             self.selector.load(candidate, now),
             usable_count,
             ' '.join(dispatch.refusals),
@@ -437,7 +444,7 @@
 
 
 def value_where_declined(
-    report: placing.Report | None, need: valuing.Need
+    report: upstream_selection.LoadReport | None, need: request_value.Need
 ) -> float:
     """Return the value of a request where it was just refused, 0 to 1.
 
@@ -447,4 +454,8 @@
         return 0.0
     takes_ms = report.route_ms or report.service_ms
     answer_s = (report.wait_ms + takes_ms) / MS
-    return valuing.worth(placing.told(report, 0.0), answer_s, need)
+    return request_value.expected_value(
+        upstream_selection.reported_failure_probability(report, 0.0),
+        answer_s,
+        need,
+    )
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -14,20 +14,20 @@
 from carawaystair.gateway import send_attempts
 from carawaystair.gateway import slots as slots_module
 from carawaystair import interfaces
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import retrying
-from carawaystair.load import waiting
+from carawaystair.load import retry_budget
+from carawaystair.load import slot_queue
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.membership import registry as registries
-from carawaystair.quarantine import crashes as crashes_module
+from carawaystair.quarantine import crash_detection
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import connections
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
+from carawaystair.request import validation
 from carawaystair import settings as settings_module
 
 # Statuses that promise that a request was not run.  The promise is trusted
@@ -80,11 +80,11 @@
         self.nested_calls = nested
         self.metrics = metrics
         self.quarantine = quarantine
-        self.crashes = crashes_module.Crashes(quarantine)
+        self.crashes = crash_detection.CrashDetector(quarantine)
         self.recorder = recorder
         # Nodes have budgets in proportion to their first sends; gateways have
         # the constant part.
-        self.retry_budgets = retrying.Budgets(
+        self.retry_budgets = retry_budget.Budgets(
             0.0,
             settings.node.retry_slack,
             settings.node.retry_window_s,
@@ -172,11 +172,11 @@
             why,
             queue.running,
             len(queue.waiting),
-            len(instance.target.idle),
+            len(instance.target.idle_connections),
         )
         self.recorder.tell(event, decisions.BELIEF)
         del self.instances[name]
-        self.crashes.ended(instance.target, why == 'left')
+        self.crashes.incarnation_ended(instance.target, why == 'left')
         instance.close()
 
     def close(self) -> None:
@@ -188,14 +188,14 @@
     def sweep(self, now: float) -> None:
         """Close connections that have been idle for too long."""
         for instance in self.instances.values():
-            connections.sweep(instance.target, now)
+            connections.close_stale(instance.target, now)
 
     # One request
 
     async def run(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         receive_body: typing.Callable[[], typing.Awaitable[Body]],
     ) -> answers.Answer:
         """Run a request once it has a slot.
@@ -211,7 +211,7 @@
         )
         call = hops.to_call(hop, request, None, now + remaining_s)
         goal = now + hop.goal_ms / MS if hop.goal_ms >= 0 else now
-        slot_request = waiting.Want(
+        slot_request = slot_queue.SlotRequest(
             hop.key, hop.route, call.deadline, goal, hop.priority, hop.nested
         )
         trial = self._is_trial(hop, slots, slot_request, now)
@@ -275,7 +275,7 @@
         self,
         hop: hops.Hop,
         instance: instances.Instance,
-        slot_request: waiting.Want,
+        slot_request: slot_queue.SlotRequest,
     ) -> float:
         """Wait for a slot; return the time that it took, seconds.
 
@@ -301,7 +301,7 @@
         """
         try:
             body = await receive_body()
-        except caller.Refused as refused:
+        except validation.Refused as refused:
             slots.release(hop.key)
             raise slots_module.Refused(
                 hops.UNREACHABLE, refused.detail
@@ -315,7 +315,7 @@
         self,
         hop: hops.Hop,
         slots: slots_module.Slots,
-        slot_request: waiting.Want,
+        slot_request: slot_queue.SlotRequest,
         now: float,
     ) -> bool:
         """Return whether the request runs here as a trial of the upstream.
@@ -324,7 +324,7 @@
         """
         if hop.may_wait:
             return False
-        offer = gate.Offer(
+        offer = upstream_gate.Offer(
             hop.final_attempt or hop.repeat or not hop.idempotent,
             hop.repeat,
             hop.retry_value / THOUSAND,
@@ -344,8 +344,8 @@
         """
         if not _uses_slack(hop):
             return
-        budget = self.retry_budgets.of(hop.service)
-        if not budget.repeat(now, self._gateway_count(hop.service)):
+        budget = self.retry_budgets.for_service(hop.service)
+        if not budget.take_retry(now, self._gateway_count(hop.service)):
             raise slots_module.Refused(hops.SPENT, 'slack')
 
     def _refund_retry(self, hop: hops.Hop, taken_at: float) -> None:
@@ -355,7 +355,7 @@
         would use up the budget, and those that find a slot would be refused.
         """
         if _uses_slack(hop):
-            self.retry_budgets.of(hop.service).give_back(taken_at)
+            self.retry_budgets.for_service(hop.service).refund(taken_at)
 
     def _check_crashing(
         self, hop: hops.Hop, slots: slots_module.Slots | None = None
@@ -369,7 +369,7 @@
             return
         if slots is not None:
             slots.release(hop.key)
-        lives = self.quarantine.standing(hop.digest).lives
+        lives = self.quarantine.standing(hop.digest).incarnations
         raise slots_module.Refused(hops.CRASHING, ' '.join(lives))
 
     def _charge_nested_calls(
@@ -381,14 +381,16 @@
             released.
         """
         budget = self.nested_calls.budget
-        if hop.repeat and not budget.pay(hop.id, hop.service, clock.now()):
+        if hop.repeat and not budget.prepay(hop.id, hop.service, clock.now()):
             slots.release(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
 
     def _count_first(self, hop: hops.Hop) -> None:
         """Count a first run, in proportion to which repeats are allowed."""
         if not hop.repeat and not hop.caller_repeated:
-            self.retry_budgets.of(hop.service).first(clock.now())
+            self.retry_budgets.for_service(hop.service).record_first_send(
+                clock.now()
+            )
 
     def _gateway_count(self, service: str) -> int:
         """Return how many gateways share the retry budget of a service.
@@ -454,7 +456,7 @@
                     hops.UNREACHABLE, failed.detail
                 ) from None
             if outcome == interfaces.BROKEN:
-                self.crashes.broke(instance.target, hop.digest, hop.id)
+                self.crashes.connection_broke(instance.target, hop.digest, hop.id)
             raise
         finally:
             observer.stop()
@@ -485,14 +487,14 @@
     ) -> None:
         """Evaluate the end of a long answer."""
         if attempt.payload.exception() is not None:
-            self.crashes.broke(instance.target, hop.digest, hop.id)
+            self.crashes.connection_broke(instance.target, hop.digest, hop.id)
         elif attempt.payload.is_eof():
             self._completed(hop, instance)
 
     def _completed(self, hop: hops.Hop, instance: instances.Instance) -> None:
         """Record a good answer that was complete."""
-        instance.target.proven = True
-        self.quarantine.ended_well(hop.digest)
+        instance.target.has_served = True
+        self.quarantine.record_success(hop.digest)
 
     def _outcome(self, answer: answers.Answer) -> str:
         """Return what an answer says about its upstream."""
@@ -559,7 +561,9 @@
         else:
             observer.failed()
 
-    def report(self, upstream: str, route: str = '') -> placing.Report:
+    def report(
+        self, upstream: str, route: str = ''
+    ) -> upstream_selection.LoadReport:
         """Return the state of an upstream for other nodes."""
         instance = self.instances.get(upstream)
         if instance is None:
@@ -585,4 +589,4 @@
 
 def _discard(answer: answers.Answer) -> None:
     if answer.rest is not None:
-        answer.rest.drop()
+        answer.rest.abort()
--- a/carawaystair/gateway/gateway_client.py
+++ b/carawaystair/gateway/gateway_client.py
@@ -87,10 +87,10 @@
         :raises answers.Failed: when there is no answer.
         """
         process = self.process_of(target.upstream.host)
-        typical_s = self.selector.durations.of(dispatch.call.match.key)
+        typical_s = self.selector.durations.expected(dispatch.call.match.key)
         service_healthy = not self.pool.explorations[
             dispatch.params.service
-        ].everywhere
+        ].active
         first = dispatch.hop(
             self.host,
             target,
@@ -101,7 +101,7 @@
             typical_s,
             process,
         )
-        state = self.selector.view(target.upstream.id)
+        state = self.selector.state(target.upstream.id)
         attempt = self._new_attempt(
             dispatch, target, first, not state.reachable
         )
@@ -268,7 +268,7 @@
             attempt.abandon()
             raise
         if answer.rest is None:
-            attempt.settle(clock.now())
+            attempt.release_connection(clock.now())
         return answer
 
     async def _wait_for_head(
@@ -305,7 +305,7 @@
             observer.on_sign_of_life(attempt)
             if (
                 attempt.sign_count >= SIGNS_BEFORE_BODY
-                and not self.selector.knows(attempt.hop.upstream)
+                and not self.selector.knows_read_time(attempt.hop.upstream)
             ):
                 attempt.send_body()
 
@@ -352,7 +352,7 @@
         if report is not None and report.process:
             now = clock.now()
             route = attempt.hop.route
-            self.selector.heard(target.upstream.id, report, now, route)
+            self.selector.record_report(target.upstream.id, report, now, route)
             if report.read_ms:
                 offset = self.clock_offsets.of(
                     target.upstream.host, report.process
--- a/carawaystair/gateway/hop_handler.py
+++ b/carawaystair/gateway/hop_handler.py
@@ -22,13 +22,13 @@
 from carawaystair.gateway import slots as slots_module
 from carawaystair.gateway import streaming
 from carawaystair.gateway import transit
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import logs
 from carawaystair.request import answer as answers
 from carawaystair.request import body as bodies
-from carawaystair.request import caller
 from carawaystair.request import exchange as exchanges
-from carawaystair.request import incoming
+from carawaystair.request import http_server
+from carawaystair.request import validation
 
 # Delay of the first interim answer: most refusals and short answers are sent
 # sooner, seconds.
@@ -71,7 +71,7 @@
 
     # One request
 
-    async def handle(self, request: incoming.Request) -> bool:
+    async def handle(self, request: http_server.Request) -> bool:
         """Answer a request; return whether the connection can be reused."""
         hop = hops.parse(request.headers.get(hops.HOP, ''))
         if hop is None:
@@ -92,7 +92,7 @@
     async def _answer(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         interim: 'InterimAnswers',
     ) -> bool:
         if hop.detour:
@@ -113,7 +113,7 @@
         except answers.Failed as failed:
             interim.stop()
             return self._fail(hop, request, failed.code, failed.detail)
-        except caller.Refused:
+        except validation.Refused:
             # The body is incomplete because its sender has gone.
             return False
         except Exception as error:
@@ -160,7 +160,7 @@
     async def _forward(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         answer: answers.Answer,
         throttle: pacers.Throttle,
     ) -> bool:
@@ -183,7 +183,7 @@
         return exchange.keep_alive and not why
 
     async def _run(
-        self, hop: hops.Hop, request: incoming.Request
+        self, hop: hops.Hop, request: http_server.Request
     ) -> answers.Answer:
         """Run a request, or join its run."""
         receive_body = functools.partial(self._receive_body, hop, request)
@@ -203,17 +203,17 @@
         )
 
     async def _receive_body(
-        self, hop: hops.Hop, request: incoming.Request
+        self, hop: hops.Hop, request: http_server.Request
     ) -> executors.Body:
         """Receive the body; a long one is left to be read from its source."""
-        length = bodies.declared(request)
+        length = bodies.declared_length(request)
         if length == 0:
             return executors.Body(b'')
         if hop.expects_continue:
             hops.write(request, hops.CONTINUE)
         content = request.content
         deadline = clock.now() + hop.remaining_ms / MS
-        if length is not None and length > bodies.HOLD_BYTES:
+        if length is not None and length > bodies.MAX_BUFFERED_BYTES:
             data = b''
             if hop.expects_continue:
                 # Without any data the sender may assume that the body was
@@ -222,14 +222,14 @@
                 data = start.data
             source = bodies.Source(content, length, data, NO_LIMIT)
             return executors.Body(None, source)
-        start = await bodies.begin(content, NO_LIMIT, deadline)
-        if start.whole:
+        start = await bodies.read_start(content, NO_LIMIT, deadline)
+        if start.complete:
             return executors.Body(start.data)
         source = bodies.Source(content, None, start.data, NO_LIMIT)
         return executors.Body(None, source)
 
     def _answer_defect(
-        self, hop: hops.Hop, request: incoming.Request, error: Exception
+        self, hop: hops.Hop, request: http_server.Request, error: Exception
     ) -> bool:
         """Answer with a failure after an unexpected exception.
 
@@ -242,7 +242,7 @@
     def _fail(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         code: codes.Code,
         detail: str,
     ) -> bool:
@@ -252,10 +252,10 @@
         return _can_reuse(request)
 
     def _report(
-        self, hop: hops.Hop, request: incoming.Request
-    ) -> placing.Report:
+        self, hop: hops.Hop, request: http_server.Request
+    ) -> upstream_selection.LoadReport:
         """Return the upstream's state for the sender of a request."""
-        held_ms = int((clock.now() - request.arrived) * MS)
+        held_ms = int((clock.now() - request.arrived_at) * MS)
         report = self.executor.report(hop.upstream, hop.route)
         return report._replace(read_ms=clock.uptime_ms() - held_ms)
 
@@ -264,7 +264,7 @@
     def _refuse(
         self,
         hop: hops.Hop,
-        request: incoming.Request,
+        request: http_server.Request,
         refused: slots_module.Refused,
     ) -> None:
         report = self._report(hop, request)
@@ -296,7 +296,7 @@
     :param request: the request.
     """
 
-    def __init__(self, request: incoming.Request) -> None:
+    def __init__(self, request: http_server.Request) -> None:
         self.request = request
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(FIRST_INTERIM_S, self._send)
@@ -319,6 +319,6 @@
     return body
 
 
-def _can_reuse(request: incoming.Request) -> bool:
+def _can_reuse(request: http_server.Request) -> bool:
     """Return whether the connection can carry another request."""
     return request.keep_alive and request.content.is_eof()
--- a/carawaystair/gateway/hops.py
+++ b/carawaystair/gateway/hops.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair.request import answer as answers
 from carawaystair.request import call as calls
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
 HOP = 'Caraway-Hop'
 REPORT = b'caraway-report'
@@ -29,7 +29,7 @@
 FAILURE = b'caraway-failure'
 
 # Reasons for which a gateway refuses a request, besides those of
-# ``load.rejecting`` and ``load.gate``.
+# ``load.rejection`` and ``load.upstream_gate``.
 LEAVING = 'leaving'  # the upstream or its node is about to stop
 ABSENT = 'absent'  # no such upstream is announced here
 UNREACHABLE = 'unreachable'  # no connection to the upstream could be made
@@ -86,7 +86,7 @@
         through a third node; empty otherwise.
     :param token: distinguishes requests that have the same id.
     :param min_value: value that it must have here to be accepted, in
-        thousandths, see ``load.valuing``; if it is lower, the request is
+        thousandths, see ``load.request_value``; if it is lower, the request is
         worth more elsewhere.
     :param retry_value: value that is left if it fails here, in thousandths.
     :param service_healthy: whether the service serves the sender's requests
@@ -142,11 +142,11 @@
 
 
 _HOP_DECODER = msgspec.json.Decoder(Hop)
-_REPORT_DECODER = msgspec.json.Decoder(placing.Report)
+_REPORT_DECODER = msgspec.json.Decoder(upstream_selection.LoadReport)
 
 
 def to_call(
-    hop: Hop, request: incoming.Request, body: bytes | None, deadline: float
+    hop: Hop, request: http_server.Request, body: bytes | None, deadline: float
 ) -> calls.Call:
     """Return a received request in the form in which it is sent on.
 
@@ -163,7 +163,7 @@
         '',
         request.method,
         request.raw_path,
-        headers.head(
+        headers.request_head(
             request.method,
             request.raw_path,
             request.headers,
@@ -173,7 +173,7 @@
     )
 
 
-def write(request: incoming.Request, data: bytes) -> None:
+def write(request: http_server.Request, data: bytes) -> None:
     """Write to the node that sent a request.
 
     :raises ConnectionResetError: when the connection is closed.
@@ -194,12 +194,12 @@
         return None
 
 
-def report_line(report: placing.Report) -> bytes:
+def report_line(report: upstream_selection.LoadReport) -> bytes:
     """Return the header line that carries a report."""
     return b'%b: %b\r\n' % (REPORT, msgspec.json.encode(report))
 
 
-def parse_report(value: bytes) -> placing.Report | None:
+def parse_report(value: bytes) -> upstream_selection.LoadReport | None:
     """Parse the value that :func:`report_line` wrote; None if malformed."""
     try:
         return _REPORT_DECODER.decode(value)
@@ -207,7 +207,9 @@
         return None
 
 
-def refusal(reason: str, detail: str, report: placing.Report) -> bytes:
+def refusal(
+    reason: str, detail: str, report: upstream_selection.LoadReport
+) -> bytes:
     """Encode a refusal."""
     line = report_line(report)
     return _gateway_answer(
@@ -215,7 +217,9 @@
     )
 
 
-def failure(code: str, detail: str, report: placing.Report) -> bytes:
+def failure(
+    code: str, detail: str, report: upstream_selection.LoadReport
+) -> bytes:
     """Encode a failure.
 
     :param code: label of the result code for the caller.
--- a/carawaystair/gateway/instances.py
+++ b/carawaystair/gateway/instances.py
@@ -47,7 +47,7 @@
         self.slots = slots_module.Slots(process_id, announcement.slots)
         now = clock.now()
         self.target = targets.Target(as_upstream(name, announcement), now)
-        self.slots.queue.cold_until = now + announcement.warmup_s
+        self.slots.queue.warmup_until = now + announcement.warmup_s
 
     def update(self, announcement: registries.Announcement) -> None:
         """Apply a newer announcement of the same instance."""
@@ -118,7 +118,7 @@
 
 def _opened_at_ms(connection: connections.Connection) -> float:
     """Return the wall-clock time at which a connection was opened."""
-    return clock.wall_ms() - (clock.now() - connection.opened) * MS
+    return clock.wall_ms() - (clock.now() - connection.opened_at) * MS
 
 
 def as_upstream(
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -56,7 +56,7 @@
     def __init__(self, pacer: 'Pacer') -> None:
         self.pacer = pacer
         # Position of the body among those that share the link.
-        self.position: pacing.Place | None = None
+        self.position: pacing.QueuePosition | None = None
         # Bytes that may be sent now.
         self.granted_bytes = 0
         self.backlog_s: float | None = None
@@ -65,8 +65,8 @@
         """Wait until the first bytes may be sent."""
         if size > pacing.SHORT_BYTES:
             now = clock.now()
-            self.backlog_s = self.pacer.link.ahead_s(now)
-            self.position = self.pacer.link.place(size, now)
+            self.backlog_s = self.pacer.link.backlog_s(now)
+            self.position = self.pacer.link.queue_position(size, now)
             self.granted_bytes = await self.pacer.wait_turn(
                 self.position, size
             )
@@ -78,7 +78,7 @@
             yield data
             return
         if position is None:
-            position = self.pacer.link.place(len(data), clock.now())
+            position = self.pacer.link.queue_position(len(data), clock.now())
         start = 0
         while start < len(data):
             if not self.granted_bytes:
@@ -92,7 +92,7 @@
 
     def close(self) -> None:
         """Return unused bandwidth."""
-        self.pacer.link.give_back(self.granted_bytes)
+        self.pacer.link.refund(self.granted_bytes)
         self.granted_bytes = 0
 
 
@@ -105,7 +105,7 @@
 
     def __init__(self, host: str, mbps: float) -> None:
         self.host = host
-        self.link = pacing.Link(mbps) if mbps else None
+        self.link = pacing.PacedLink(mbps) if mbps else None
         self.futures: dict[int, asyncio.Future] = {}
         self.timer: asyncio.TimerHandle | None = None
 
@@ -116,37 +116,37 @@
             return UNTHROTTLED
         return LinkThrottle(self)
 
-    async def wait_turn(self, position: pacing.Place, size: int) -> int:
+    async def wait_turn(self, position: pacing.QueuePosition, size: int) -> int:
         """Wait for a turn; return how many bytes may be sent.
 
         :param position: position of the body among those that share the link.
         :param size: bytes that are left to send.
         """
-        queued = self.link.ask(position, size)
+        queued = self.link.enqueue(position, size)
         future = asyncio.get_running_loop().create_future()
-        self.futures[queued.place.number] = future
+        self.futures[queued.position.number] = future
         self._grant_turns()
         try:
             return await future
         except asyncio.CancelledError:
             if future.cancelled():
-                queued.left = True
+                queued.cancelled = True
             else:
-                self.link.give_back(future.result())
+                self.link.refund(future.result())
                 self._grant_turns()
             raise
         finally:
-            self.futures.pop(queued.place.number, None)
+            self.futures.pop(queued.position.number, None)
 
     def _grant_turns(self) -> None:
         """Grant turns while the link has room, and schedule the next check."""
         now = clock.now()
-        while (queued := self.link.first(now)) is not None:
-            future = self.futures[queued.place.number]
+        while (queued := self.link.pop_due(now)) is not None:
+            future = self.futures[queued.position.number]
             # A waiter that was cancelled in this iteration of the event loop
             # has not marked its turn as left yet.
             if not future.done():
-                future.set_result(self.link.take(queued.size, now))
+                future.set_result(self.link.take_chunk(queued.size, now))
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/carawaystair/gateway/paths.py
+++ b/carawaystair/gateway/paths.py
@@ -47,7 +47,7 @@
     def mark_unreachable(self, target: targets.Target) -> None:
         """Mark a gateway as not directly reachable and probe its path."""
         name = target.upstream.id
-        self.pool.selector.view(name).reachable = False
+        self.pool.selector.state(name).reachable = False
         connections.close_idle(target)
         if name not in self.probing:
             self.probing.add(name)
@@ -65,7 +65,7 @@
                     return
         finally:
             self.probing.discard(name)
-            self.pool.selector.view(name).reachable = True
+            self.pool.selector.state(name).reachable = True
 
     def intermediary(self, target: targets.Target) -> targets.Target | None:
         """Return a gateway of a third host for a detour.
@@ -78,12 +78,13 @@
             for other in self.pool.targets.values()
             if other.upstream.host not in (target.upstream.host, self.host)
             and other.upstream.state != interfaces.GONE
-            and selector.view(other.upstream.id).reachable
+            and selector.state(other.upstream.id).reachable
         ]
         if not others:
             return None
         others.sort(
-            key=lambda other: selector.view(other.upstream.id).at, reverse=True
+            key=lambda other: selector.state(other.upstream.id).reported_at,
+            reverse=True,
         )
         return self.rng.choice(others[:4])
 
@@ -92,7 +93,7 @@
     """Return whether a connection can be made."""
     loop = asyncio.get_running_loop()
     try:
-        until = loop.time() + connections.CONNECT_S
+        until = loop.time() + connections.CONNECT_TIMEOUT_S
         connection = await connections.connect(target, until)
     except OSError:
         return False
--- a/carawaystair/gateway/run_observer.py
+++ b/carawaystair/gateway/run_observer.py
@@ -4,7 +4,7 @@
 
 from carawaystair import clock
 from carawaystair.gateway import slots as slots_module
-from carawaystair.load import estimating
+from carawaystair.load import failure_estimate
 from carawaystair import logs
 
 # A run that has not failed by then was really worked on, since failing
@@ -35,7 +35,7 @@
         self.started_at = clock.now()
         self.survived = False
         self.overdue = False
-        expected_s = slots.queue.takes_s(route, self.started_at)
+        expected_s = slots.queue.expected_service_s(route, self.started_at)
         loop = asyncio.get_running_loop()
         self.timers = (
             loop.call_later(SURVIVED_S, self._on_survived),
@@ -44,12 +44,12 @@
                 self._on_overdue,
             ),
         )
-        slots.gate.trials.began(self.started_at)
+        slots.gate.trials.record_start(self.started_at)
 
     def _on_survived(self) -> None:
         if not self.survived:
             self.survived = True
-            self._update_estimate(estimating.SURVIVED)
+            self._update_estimate(failure_estimate.NOT_FAILED_AT_ONCE)
 
     def _on_overdue(self) -> None:
         """Count a hanging run as a failure before it ends.
@@ -57,20 +57,20 @@
         The upstream would be sent more requests meanwhile, and hang on them.
         """
         self.overdue = True
-        self._update_estimate(estimating.OVERDUE)
-        self.slots.gate.trials.failed(clock.now())
+        self._update_estimate(failure_estimate.OVERDUE)
+        self.slots.gate.trials.record_failure(clock.now())
 
-    def _update_estimate(self, observation: estimating.Sight) -> None:
+    def _update_estimate(self, observation: failure_estimate.Observation) -> None:
         before = self.slots.failure_chance()
-        self.slots.gate.estimate.see(observation, clock.now())
+        self.slots.gate.estimate.observe(observation, clock.now())
         after = self.slots.failure_chance()
         fields = {'upstream': self.upstream, 'failing': round(after, 3)}
-        if before <= estimating.LIKELY < after:
+        if before <= failure_estimate.SUSPECT_PROBABILITY < after:
             LOG.info('Upstream is likely to fail.', **fields)
             # It would fail all waiting requests within milliseconds; other
             # upstreams may have room for them.
             self.slots.evict_waiting()
-        elif after <= estimating.LIKELY < before:
+        elif after <= failure_estimate.SUSPECT_PROBABILITY < before:
             LOG.info('Upstream has recovered.', **fields)
 
     def stop(self) -> None:
@@ -82,23 +82,23 @@
         """Record a good answer."""
         now = clock.now()
         took_s = now - self.started_at
-        self.slots.queue.learn(self.route, self.started_at, took_s)
+        self.slots.queue.record_service_time(self.route, self.started_at, took_s)
         self._on_survived()
         if not self.overdue:
-            self._update_estimate(estimating.SUCCEEDED)
-        self.slots.gate.trials.succeeded()
+            self._update_estimate(failure_estimate.SUCCEEDED)
+        self.slots.gate.trials.record_success()
 
     def failed(self) -> None:
         """Record a failure."""
         now = clock.now()
-        self.slots.gate.trials.failed(now)
+        self.slots.gate.trials.record_failure(now)
         if now - self.started_at < SURVIVED_S:
-            self._update_estimate(estimating.FAILED_AT_ONCE)
+            self._update_estimate(failure_estimate.FAILED_AT_ONCE)
             return
         self._on_survived()
         if not self.overdue:
-            self._update_estimate(estimating.FAILED)
+            self._update_estimate(failure_estimate.FAILED)
 
     def shed(self) -> None:
         """Record that the upstream shed the request."""
-        self._update_estimate(estimating.SHED)
+        self._update_estimate(failure_estimate.SHED)
--- a/carawaystair/gateway/send_attempts.py
+++ b/carawaystair/gateway/send_attempts.py
@@ -20,7 +20,7 @@
 from carawaystair.request import body as bodies
 from carawaystair.request import call as calls
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import target as targets
 from carawaystair import settings
 
@@ -92,11 +92,11 @@
         # Releases the slot at the end of a long answer.
         self.release_slot: typing.Callable[[], None] | None = None
 
-    def idle_s(self) -> float:
+    def max_idle_s(self) -> float:
         """Return how long the connection may have been idle, seconds."""
-        return min(super().idle_s(), MAX_IDLE_S)
+        return min(super().max_idle_s(), MAX_IDLE_S)
 
-    def marks(self, left_ms: int) -> bytes:
+    def attempt_headers(self, left_ms: int) -> bytes:
         """Return the fleet's headers for the upstream."""
         names = self.header_names
         lines = '%s: %s\r\n%s: %d\r\n%s: %s\r\n%s: %s\r\n' % (
@@ -111,7 +111,7 @@
         )
         return lines.encode()
 
-    def source(self) -> bodies.Source:
+    def streamed_body(self) -> bodies.Source:
         """Return the source of a body that is not buffered here."""
         return self.body_source
 
@@ -125,7 +125,7 @@
             proto = self.connection.proto
             message, payload = await proto.head(until)
             if message.code < 200:
-                self.interim(message)
+                self.check_interim(message)
                 continue
             named = message.headers.get(self.header_names.request_id)
             if named in (None, self.call.id):
@@ -197,13 +197,13 @@
 
         :raises answers.Failed: when none can be made.
         """
-        self.connect_s = max(self.connect_s, self.first_sign_timeout_s)
+        self.connect_timeout_s = max(self.connect_timeout_s, self.first_sign_timeout_s)
         await super().connect()
         transport = self.connection.proto.transport
         if transport is not None and not self.connection.uses:
-            incoming.notice_silence(transport, UNACKNOWLEDGED_TIMEOUT_S)
+            http_server.set_user_timeout(transport, UNACKNOWLEDGED_TIMEOUT_S)
 
-    def marks(self, left_ms: int) -> bytes:
+    def attempt_headers(self, left_ms: int) -> bytes:
         """Return the hop header as of now."""
         if self.clock_offset is None:
             return hops.header_line(self.hop)
@@ -230,7 +230,7 @@
         body, proto = self.call.body, self.connection.proto
         throttle = self._throttle()
         if body is None:
-            self.pump = pacers.Pump(self.source(), proto, throttle)
+            self.pump = pacers.Pump(self.streamed_body(), proto, throttle)
         elif throttle is pacers.UNTHROTTLED:
             proto.transport.write(body)
             return
@@ -261,14 +261,14 @@
         """Return whether the connection has failed."""
         return self.connection.proto.error is not None
 
-    def settle(self, now: float) -> None:
+    def release_connection(self, now: float) -> None:
         """Return the connection for reuse if the request was sent whole."""
         if self.body_released:
-            super().settle(now)
+            super().release_connection(now)
         else:
             self.connection.proto.abort()
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Return whether the gateway takes no more requests.
 
         A host whose own upstream is leaving can still forward requests, and
@@ -276,7 +276,7 @@
         """
         if self.via_detour or self.hop.resumed:
             return False
-        return super().leaving()
+        return super().is_leaving()
 
     async def wait_sign(self, until: float) -> bool:
         """Wait for a sign of life; return whether it is the final answer.
@@ -286,7 +286,7 @@
         proto = self.connection.proto
         message, payload = await proto.head(until)
         if message.code < 200:
-            self.interim(message)
+            self.check_interim(message)
             if message.code == CONTINUE:
                 self.send_body()
             self.accepted = True
@@ -311,7 +311,7 @@
         if self.connection is None:
             return
         transport = self.connection.proto.transport
-        if connections.part(self.connection) is not None:
+        if connections.half_close(self.connection) is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(CLOSE_TIMEOUT_S, transport.abort)
 
@@ -330,7 +330,7 @@
                 raw.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET
                 )
-        self.drop()
+        self.abort()
 
 
 async def send_for_answer(
@@ -345,13 +345,13 @@
         attempt.send()
         answer = await attempt.answer(until)
     except TimeoutError:
-        attempt.drop()
+        attempt.abort()
         raise answers.Failed(
             interfaces.TIMEOUT, codes.ANSWER_LATE, attempt.sent
         ) from None
     except BaseException:
-        attempt.drop()
+        attempt.abort()
         raise
     if answer.rest is None:
-        attempt.settle(clock.now())
+        attempt.release_connection(clock.now())
     return answer
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -21,11 +21,11 @@
 from carawaystair.gateway import startup
 from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
-from carawaystair.load import nesting
-from carawaystair.load import retrying
+from carawaystair.load import nested_call_budget
+from carawaystair.load import retry_budget
 from carawaystair import metrics
 from carawaystair.request import connections
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters as meters_module
 
@@ -69,13 +69,13 @@
         self.routing = routing
         rng = kernel.random('gateway')
         node = settings.node
-        retry_budgets = retrying.Budgets(
+        retry_budgets = retry_budget.Budgets(
             node.retry_ratio,
             0.0,
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        nested = call_tracker.NestedCallTracker(nesting.Payer(retry_budgets))
+        nested = call_tracker.NestedCallTracker(nested_call_budget.NestedCallBudget(retry_budgets))
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
         self.pool = upstream_pool.UpstreamPool(
             settings.data_centre,
@@ -136,7 +136,7 @@
         self.caller_listener = listeners.Listener(
             self.caller_handler.handle,
             self.caller_handler.bounds,
-            self.caller_handler.may_run_ahead,
+            self.caller_handler.may_pipeline,
         )
         self.node_listener = listeners.Listener(
             self.hop_handler.handle, _node_limits
@@ -150,13 +150,13 @@
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return the upstreams that were last reported as failing."""
-        views = self.pool.selector.views
+        views = self.pool.selector.states
         return frozenset(
             upstream.id
             for upstream in self.membership.directory.upstreams(service)
             if upstream.id in views
             and views[upstream.id].report is not None
-            and views[upstream.id].report.suspect
+            and views[upstream.id].report.likely_failing
         )
 
     async def on_start(self) -> None:
@@ -177,7 +177,7 @@
             'lines_left_out_total', self.recorder.room.left_out
         )
         if self.pacer.link is not None:
-            ahead_s = self.pacer.link.ahead_s(clock.now())
+            ahead_s = self.pacer.link.backlog_s(clock.now())
             yield metrics.Sample('link_ahead_seconds', ahead_s)
         for name, slots in self.executor.slots.items():
             labels = (('upstream', name),)
@@ -192,30 +192,30 @@
         for service, exploration in self.pool.explorations.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'service_failing_share', exploration.failing, labels
+                'service_failing_share', exploration.failure_share, labels
             )
         for service, budget in self.dispatcher.retry_budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'node_firsts_total', budget.total_firsts, labels
+                'node_firsts_total', budget.total_first_sends, labels
             )
             yield metrics.Sample(
-                'node_repeats_total', budget.total_repeats, labels
+                'node_repeats_total', budget.total_retries, labels
             )
         for service, budget in self.executor.retry_budgets.budgets.items():
             labels = (('service', service),)
             yield metrics.Sample(
-                'gateway_firsts_total', budget.total_firsts, labels
+                'gateway_firsts_total', budget.total_first_sends, labels
             )
             yield metrics.Sample(
-                'gateway_repeats_total', budget.total_repeats, labels
+                'gateway_repeats_total', budget.total_retries, labels
             )
 
     @mode.Service.task
     async def _sweep(self) -> None:
         """Close connections that have been idle for too long."""
         while not self.should_stop:
-            await self.sleep(connections.SWEEP_S)
+            await self.sleep(connections.SWEEP_INTERVAL_S)
             now = clock.now()
             self.pool.sweep(now)
             self.executor.sweep(now)
@@ -231,7 +231,7 @@
         node = self.settings.node
         now = clock.now()
         ends_at = now + max(node.drain_s - STOP_MARGIN_S, 0.0)
-        self.caller_handler.ends = ends_at
+        self.caller_handler.stop_deadline = ends_at
         self.caller_handler.accept_until = min(now + node.lame_duck_s, ends_at)
         self.membership.registry.close()
         self.executor.close()
@@ -260,16 +260,16 @@
             self.caller_handler.active
             or self.hop_handler.active
             or self.hop_handler.runs.orphans
-            or any(listener.sending for listener in listeners)
+            or any(listener.has_unsent_data for listener in listeners)
         )
 
 
-def _node_limits() -> incoming.Bounds:
+def _node_limits() -> http_server.Bounds:
     """Return the limits on what other nodes may send.
 
     Heads are as long as those of callers plus that of the fleet; connections
     that have gone silent are closed.
     """
-    return incoming.Bounds(
-        MAX_HEAD_BYTES, silence_s=send_attempts.UNACKNOWLEDGED_TIMEOUT_S
+    return http_server.Bounds(
+        MAX_HEAD_BYTES, ack_timeout_s=send_attempts.UNACKNOWLEDGED_TIMEOUT_S
     )
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -4,16 +4,16 @@
 import typing
 
 from carawaystair import clock
-from carawaystair.load import gate
-from carawaystair.load import placing
-from carawaystair.load import rejecting
-from carawaystair.load import waiting
+from carawaystair.load import rejection
+from carawaystair.load import slot_queue
+from carawaystair.load import upstream_gate
+from carawaystair.load import upstream_selection
 
 
 class Refused(Exception):
     """A request was refused and has no slot.
 
-    :param reason: the reason, see ``hops``, ``load.rejecting`` and
+    :param reason: the reason, see ``hops``, ``load.rejection`` and
         ``load.gate``.
     :param detail: circumstances, for the log.
     """
@@ -35,19 +35,19 @@
         self, process_id: typing.Callable[[], str], count: int
     ) -> None:
         self.process_id = process_id
-        self.gate = gate.Gate(count)
-        self.queue = self.gate.line
+        self.gate = upstream_gate.Gate(count)
+        self.queue = self.gate.queue
         self.waiters: dict[str, asyncio.Future] = {}
 
     async def acquire(
-        self, slot_request: waiting.Want, may_wait: bool
+        self, slot_request: slot_queue.SlotRequest, may_wait: bool
     ) -> float:
         """Wait for a slot; return the time that it took, seconds.
 
         :raises Refused: when no slot will be free in time.
         """
         began = clock.now()
-        verdict = self.queue.ask(slot_request, began, may_wait)
+        verdict = self.queue.request_slot(slot_request, began, may_wait)
         if verdict.reason:
             raise Refused(verdict.reason, 'wait %.2f s' % verdict.wait_s)
         if verdict.starts:
@@ -55,13 +55,13 @@
         loop = asyncio.get_running_loop()
         future = self.waiters[slot_request.id] = loop.create_future()
         timer = loop.call_at(
-            self.queue.last_start(slot_request, began),
+            self.queue.latest_start(slot_request, began),
             self._expire,
             slot_request.id,
         )
         try:
             if not await future:
-                raise Refused(rejecting.HOPELESS, 'no slot in time')
+                raise Refused(rejection.HOPELESS, 'no slot in time')
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
                 # The slot was assigned at the moment of cancellation.
@@ -69,48 +69,48 @@
             raise
         finally:
             timer.cancel()
-            self.queue.leave(slot_request.id)
+            self.queue.remove(slot_request.id)
             self.waiters.pop(slot_request.id, None)
         return clock.now() - began
 
     def release(self, request: str) -> None:
         """Release the slot of a request."""
-        self.queue.end(request)
+        self.queue.finish(request)
         self.start_waiting()
 
     def start_waiting(self) -> None:
         """Start waiting requests while slots are free."""
-        while started := self.queue.start(clock.now()):
+        while started := self.queue.start_waiting(clock.now()):
             for name in started:
                 future = self.waiters.get(name)
                 if future is None or future.done():
                     # It was cancelled at this moment.
-                    self.queue.end(name)
+                    self.queue.finish(name)
                 else:
                     future.set_result(True)
 
     def evict_waiting(self) -> None:
         """Refuse all waiting requests, as the upstream is likely to fail."""
-        self.refuse_waiting(gate.RISKY)
+        self.refuse_waiting(upstream_gate.RISKY)
 
     def refuse_waiting(self, reason: str) -> None:
         """Refuse all waiting requests."""
         for name, future in list(self.waiters.items()):
-            self.queue.leave(name)
+            self.queue.remove(name)
             if not future.done():
                 future.set_exception(Refused(reason))
 
     def _expire(self, name: str) -> None:
         future = self.waiters.get(name)
         if future is not None and not future.done():
-            self.queue.leave(name)
+            self.queue.remove(name)
             future.set_result(False)
 
     def failure_chance(self) -> float:
         """Return the probability that the next request fails, 0 to 1."""
-        return self.gate.estimate.failing(clock.now())
+        return self.gate.estimate.failure_probability(clock.now())
 
-    def report(self, route: str = '') -> placing.Report:
+    def report(self, route: str = '') -> upstream_selection.LoadReport:
         """Return the state of the upstream for other nodes.
 
         :param route: key of the route for which service times are reported.
--- a/carawaystair/gateway/streaming.py
+++ b/carawaystair/gateway/streaming.py
@@ -36,10 +36,10 @@
     :param extra_headers: header lines to add.
     :param throttle: limits the rate.
     """
-    data = exchange.packed(answer, codes.OK, extra_headers)
+    data = exchange.encode_answer(answer, codes.OK, extra_headers)
     async for chunk in throttle.chunks(data):
         exchange.write(chunk)
-        await exchange.drained()
+        await exchange.wait_drained()
 
 
 async def stream(
@@ -60,8 +60,8 @@
     complete = False
     try:
         # Buffering a long answer until its turn would take unbounded memory.
-        await exchange.request.at_turn()
-        exchange.begin(
+        await exchange.request.wait_turn()
+        exchange.begin_answer(
             answer, None if length is None else int(length), extra_headers
         )
         writer = exchange.request.writer
@@ -76,13 +76,13 @@
         complete = True
         return ''
     except CONNECTION_ERRORS as error:
-        exchange.cut()
+        exchange.abort()
         return '%s: %s' % (codes.ANSWER_LOST.label, error)
     finally:
         if complete:
-            attempt.settle(clock.now())
+            attempt.release_connection(clock.now())
         else:
-            attempt.drop()
+            attempt.abort()
 
 
 async def _write(
@@ -90,4 +90,4 @@
 ) -> None:
     async for chunk in throttle.chunks(data):
         await exchange.request.writer.write(chunk, drain=False)
-        await exchange.drained()
+        await exchange.wait_drained()
--- a/carawaystair/gateway/upstream_pool.py
+++ b/carawaystair/gateway/upstream_pool.py
@@ -7,9 +7,9 @@
 from carawaystair import clock
 from carawaystair.gateway import pacer as pacers
 from carawaystair import interfaces
-from carawaystair.load import placing
-from carawaystair.load import spreading
-from carawaystair.load import valuing
+from carawaystair.load import exploration
+from carawaystair.load import request_value
+from carawaystair.load import upstream_selection
 from carawaystair.request import connections
 from carawaystair.request import target as targets
 from carawaystair import routing as routings
@@ -53,17 +53,17 @@
         self.data_centre = data_centre
         self.directory = directory
         self.routing = routing
-        self.selector = placing.Board(rng)
+        self.selector = upstream_selection.UpstreamSelector(rng)
         self.targets: dict[str, targets.Target] = {}
         self.explorations: collections.defaultdict = collections.defaultdict(
-            spreading.Spreading
+            exploration.Exploration
         )
         directory.subscribe(self.on_upstream_changed)
 
     def on_upstream_changed(self, upstream: interfaces.Upstream) -> None:
         """Update the target of an upstream that changed."""
         target = self.targets.get(upstream.id)
-        if target is not None and not targets.former(target, upstream):
+        if target is not None and not targets.is_outdated(target, upstream):
             self._update_target(target, upstream)
 
     def _update_target(
@@ -84,18 +84,18 @@
             self.selector.forget(new.id)
             return
         if old.incarnation != new.incarnation:
-            target.seen = clock.now()
-            self.selector.renew(new.id, new.incarnation)
+            target.first_seen = clock.now()
+            self.selector.start_incarnation(new.id, new.incarnation)
         target.upstream = new
 
     def record_outcome(self, service: str, good: bool) -> None:
         """Record whether a run of a service succeeded."""
-        self.explorations[service].learn(good)
+        self.explorations[service].record(good)
 
     def sweep(self, now: float) -> None:
         """Close connections that have been idle for too long."""
         for target in self.targets.values():
-            connections.sweep(target, now)
+            connections.close_stale(target, now)
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -115,7 +115,7 @@
             target.pacer = self.pacer
             self.targets[upstream.id] = target
             # Reports of an incarnation on another host may still arrive.
-            self.selector.renew(upstream.id, upstream.incarnation)
+            self.selector.start_incarnation(upstream.id, upstream.incarnation)
         return target
 
     def choose(
@@ -124,7 +124,7 @@
         tried: typing.Container[str],
         refused: typing.Container[str],
         now: float,
-        need: valuing.Need,
+        need: request_value.Need,
         route: str,
         size: float,
         first: bool,
@@ -150,8 +150,8 @@
         candidates = [
             self._candidate(upstream, now) for upstream in usable.values()
         ]
-        explore = first and self.explorations[service].everywhere
-        trial = first and not need.last
+        explore = first and self.explorations[service].active
+        trial = first and not need.final
         chosen = self.selector.choose(
             candidates,
             tried,
@@ -166,15 +166,17 @@
         if chosen is None:
             return None
         target = self.target(usable[chosen.candidate.id])
-        return Choice(target, len(usable), chosen.least, chosen.again)
+        return Choice(
+            target, len(usable), chosen.min_value, chosen.retry_value
+        )
 
     def _candidate(
         self, upstream: interfaces.Upstream, now: float
-    ) -> placing.Candidate:
+    ) -> upstream_selection.Candidate:
         target = self.target(upstream)
-        return placing.Candidate(
+        return upstream_selection.Candidate(
             upstream.id,
             upstream.data_centre == self.data_centre,
             upstream.slots,
-            now - target.seen < upstream.warmup_s,
+            now - target.first_seen < upstream.warmup_s,
         )
--- a/carawaystair/interfaces.py
+++ b/carawaystair/interfaces.py
@@ -10,7 +10,7 @@
 import expression
 
 from carawaystair import codes
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 
 # States of an upstream, as it announces them itself.
 UP = 'up'
@@ -287,7 +287,7 @@
 class Quarantine(typing.Protocol):
     """Knows of requests that crash upstreams, by their digests."""
 
-    def standing(self, digest: str) -> crashing.Standing:
+    def standing(self, digest: str) -> crash_suspects.Standing:
         """Return what is known of a request."""
 
     def refuses(self, digest: str) -> bool:
@@ -296,22 +296,22 @@
     def may_begin(self, digest: str) -> bool:
         """Tell whether a request of this host's callers may be sent on."""
 
-    def may_repeat(self, digest: str) -> bool:
+    def may_retry(self, digest: str) -> bool:
         """Tell whether a request that failed may reach another upstream."""
 
-    def ended_well(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Take note that a request was answered well."""
 
-    def crashed(
+    def record_crash(
         self,
-        life: str,
+        incarnation: str,
         requests: typing.Mapping[str, str],
         proven: bool,
         how: str,
     ) -> None:
         """Take note that an upstream crashed.
 
-        :param life: names the upstream and its start.
+        :param incarnation: names the upstream and its start.
         :param requests: ids of what it was running, by digest.
         :param proven: whether it had served anything since its start.
         :param how: what shows that it crashed.
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -1,4 +1,4 @@
-"""What one process knows of requests that crash upstreams."""
+"""The quarantine of one process: facts, decisions, metrics and local API."""
 
 import collections
 import typing
@@ -10,34 +10,35 @@
 from carawaystair import codes
 from carawaystair import decisions
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 from carawaystair import localapi
 from carawaystair import metrics
-from carawaystair.quarantine import spread
+from carawaystair.quarantine import dissemination
 from carawaystair import rendezvous
 from carawaystair import settings
 
-# What is too old is looked for this often, seconds.
-SWEEP_S = 1.0
-# A request that ended well here of late is cleared at the second crash that is
-# told of it; the first may be the only one.
-DOUBTED = 2
-# A trial is over after so long, seconds.
+# Interval at which expired facts are removed.
+SWEEP_INTERVAL_S = 1.0
+# A request that succeeded here recently is cleared only once this many
+# crashes are known: a single crash may remain the only one.
+CLEAR_AT_CRASHES = 2
+# After this time another trial of a request may start.
 TRIAL_S = 10.0
 MS = 1000
-HERE = 'this host'
+THIS_HOST = 'this host'
 
 
 class Suspect(typing.NamedTuple):
-    """One request, as an operator sees it.
+    """One suspected request, as shown to operators.
 
-    :param digest: names what it asks for.
+    :param digest: digest of the request.
     :param request: id of the attempt at the last crash.
-    :param refused_s: seconds for which it is still refused; 0.0 when it is
-        not.
+    :param refused_s: seconds for which it remains refused; 0.0 when it is
+        not refused.
     :param age_s: seconds since the last crash.
-    :param upstreams: those that crashed under it, ``ID/INCARNATION`` each.
-    :param cleared: crashes that it is cleared of.
+    :param upstreams: upstreams that crashed while they ran it,
+        ``ID/INCARNATION`` each.
+    :param cleared: number of crashes that it has been cleared of.
     """
 
     digest: str
@@ -53,8 +54,8 @@
 
     :param node: settings of the node role.
     :param members: the members of the fleet.
-    :param transport: the messages of this process.
-    :param recorder: takes note of decisions.
+    :param transport: sends and receives messages.
+    :param recorder: logs decisions.
     """
 
     def __init__(
@@ -66,91 +67,99 @@
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
-        self.suspects = crashing.Suspects(node.crash_limit, node.crash_hold_s)
+        self.suspects = crash_suspects.Suspects(
+            node.crash_limit, node.crash_hold_s
+        )
         self.members = members
         self.recorder = recorder
-        # When this process last let a request run on trial.
+        # Start of the last trial here of each request, by digest.
         self.trials: dict[str, float] = {}
-        self.spread = spread.Spread(members, transport, self)
-        # Requests that are refused now.
+        self.disseminator = dissemination.Disseminator(
+            members, transport, self
+        )
+        # Digests of the requests that are refused now.
         self.refused: set[str] = set()
         self.counts: collections.Counter = collections.Counter()
 
     async def on_start(self) -> None:
-        """Start to exchange what is known."""
+        """Register the metrics and start to exchange facts."""
         metrics.collect(self.samples)
-        await self.add_runtime_dependency(self.spread)
+        await self.add_runtime_dependency(self.disseminator)
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """Forget what is too old."""
+        """Remove expired facts and end refusals whose time is over."""
         while not self.should_stop:
-            await self.sleep(SWEEP_S)
-            for digest in self.suspects.forget(clock.now()):
+            await self.sleep(SWEEP_INTERVAL_S)
+            for digest in self.suspects.expire(clock.now()):
                 self.trials.pop(digest, None)
             for digest in list(self.refused):
-                self._check(digest, 'its time is over')
+                self._check(digest, 'the hold time is over')
 
-    # What the request path asks and tells
+    # Interface to the request path
 
-    def standing(self, digest: str) -> crashing.Standing:
-        """Return what is known of a request."""
+    def standing(self, digest: str) -> crash_suspects.Standing:
+        """Return the standing of a request."""
         return self.suspects.standing(digest, clock.now())
 
     def refuses(self, digest: str) -> bool:
-        """Tell whether a request is not to reach an upstream."""
+        """Return whether a request must not reach an upstream now."""
         return self.suspects.refuses(digest, clock.now())
 
     def may_begin(self, digest: str) -> bool:
-        """Tell whether a request of this host's callers may be sent on.
+        """Return whether a request of this host's callers may be sent.
 
-        One whose time of refusal is over runs on trial, at one host of the
-        fleet and one at a time: it may crash another upstream.
+        A request whose hold time is over may crash another upstream, so it
+        runs on trial: at one host of the fleet only, and one trial at a
+        time.
         """
         now = clock.now()
         if not self.suspects.on_trial(digest):
             return True
-        if self.suspects.refuses(digest, now) or not self._tries(digest):
+        if self.suspects.refuses(digest, now) or not self._is_trial_host(
+            digest
+        ):
             return False
         if now - self.trials.get(digest, -TRIAL_S) < TRIAL_S:
             return False
         self.trials[digest] = now
         return True
 
-    def may_repeat(self, digest: str) -> bool:
-        """Tell whether a request that failed may reach another upstream."""
+    def may_retry(self, digest: str) -> bool:
+        """Return whether a failed request may be sent to another upstream."""
         crashes = self.suspects.standing(digest, clock.now()).crashes
         return crashes < self.suspects.limit - 1
 
-    def _tries(self, digest: str) -> bool:
-        """Tell whether trials of a request are up to this host."""
+    def _is_trial_host(self, digest: str) -> bool:
+        """Return whether trials of a request run at this host."""
         nodes = [each for each in self.members.alive() if not each.control]
         ranked = rendezvous.rank(digest, nodes)
         return bool(ranked) and ranked[0].host == self.members.me.host
 
-    def crashed(
+    def record_crash(
         self,
-        life: str,
+        incarnation: str,
         requests: typing.Mapping[str, str],
         proven: bool,
         how: str,
     ) -> None:
-        """Take note that an upstream of this host crashed.
+        """Record the crash of an upstream of this host.
 
-        :param life: names the upstream and its start.
-        :param requests: ids of what it was running, by digest.
-        :param proven: whether it had served anything since its start.
-        :param how: what shows that it crashed.
+        :param incarnation: id of the upstream and its incarnation.
+        :param requests: ids of the requests that it was running, by digest.
+        :param proven: whether this incarnation had served a request
+            successfully.
+        :param how: evidence of the crash, for the log.
         """
         self.counts['crashes'] += 1
-        facts = self.suspects.crashed(life, requests, proven)
-        self._learn(facts, HERE)
+        facts = self.suspects.crash_facts(incarnation, requests, proven)
+        self._add_facts(facts, THIS_HOST)
         for fact in facts:
             standing = self.standing(fact.digest)
             event = decisions.Suspected(
                 fact.request,
                 fact.digest,
-                life,
+                incarnation,
                 how,
                 proven,
                 len(requests) - 1,
@@ -160,78 +169,89 @@
             )
             self.recorder.tell(event, decisions.TROUBLE)
 
-    def ended_well(self, digest: str) -> None:
-        """Take note that a request was answered well."""
+    def record_success(self, digest: str) -> None:
+        """Clear a request that was answered successfully."""
         if digest:
-            facts = self.suspects.ended_well(digest, clock.now())
-            self._clear(facts, 'it ended well')
+            facts = self.suspects.record_success(digest, clock.now())
+            self._clear(facts, 'it succeeded')
 
     def clear(self, digest: str) -> int:
-        """Clear a request, as an operator wants; return of how many crashes.
+        """Clear a request on behalf of an operator.
 
-        It may run again until further upstreams crash under it.
+        It is served again until further upstreams crash while they run it.
+
+        :return: the number of crashes that it was cleared of.
         """
-        facts = self.suspects.clearing(digest, clock.now())
+        facts = self.suspects.clearing_facts(digest, clock.now())
         self._clear(facts, 'an operator cleared it')
         return len(facts)
 
     def _clear(
-        self, facts: typing.Collection[crashing.Fact], why: str
+        self, facts: typing.Collection[crash_suspects.Fact], why: str
     ) -> None:
         if facts:
-            self._learn(facts, HERE, why)
+            self._add_facts(facts, THIS_HOST, why)
 
-    # What other processes tell
+    # Facts from other processes
 
-    def known(
-        self, keys: typing.Collection[spread.Key]
-    ) -> list[crashing.Fact]:
-        """Return facts that are still known."""
+    def facts_for(
+        self, keys: typing.Collection[dissemination.Key]
+    ) -> list[crash_suspects.Fact]:
+        """Return those of the facts that are still known."""
         now = clock.now()
         wanted = set(keys)
         return [
             fact
-            for digest in dict.fromkeys(digest for digest, _life in keys)
+            for digest in dict.fromkeys(
+                digest for digest, _incarnation in keys
+            )
             for fact in self.suspects.facts(digest, now)
-            if (fact.digest, fact.life) in wanted
+            if (fact.digest, fact.incarnation) in wanted
         ]
 
-    def all_known(self) -> list[crashing.Fact]:
+    def all_facts(self) -> list[crash_suspects.Fact]:
         """Return all facts, those of refused requests first."""
         facts = self.suspects.all_facts(clock.now())
         return sorted(facts, key=lambda f: f.digest not in self.refused)
 
-    def take(self, sender: str, facts: typing.Iterable[crashing.Fact]) -> None:
-        """Take facts that another process told."""
-        self._learn(facts, sender)
+    def receive(
+        self, sender: str, facts: typing.Iterable[crash_suspects.Fact]
+    ) -> None:
+        """Add facts received from another process."""
+        self._add_facts(facts, sender)
 
-    def _learn(
-        self, facts: typing.Iterable[crashing.Fact], sender: str, why: str = ''
+    def _add_facts(
+        self,
+        facts: typing.Iterable[crash_suspects.Fact],
+        sender: str,
+        why: str = '',
     ) -> None:
-        """Take facts in, and pass on what is news."""
+        """Add facts and broadcast the new ones."""
         now = clock.now()
         facts = list(facts)
-        news = [fact for fact in facts if self.suspects.learn(fact, now)]
+        new_facts = [fact for fact in facts if self.suspects.add(fact, now)]
         self.counts['facts'] += len(facts)
-        self.counts['doubled'] += len(facts) - len(news)
-        if not news:
+        self.counts['doubled'] += len(facts) - len(new_facts)
+        if not new_facts:
             return
-        but = '' if sender == HERE else sender
-        self.spread.pass_on([(f.digest, f.life) for f in news], but)
-        for digest in dict.fromkeys(fact.digest for fact in news):
-            self._clear_if_sound(digest, now)
-            self._check(digest, why or 'told by %s' % sender)
-
-    def _clear_if_sound(self, digest: str, now: float) -> None:
-        """Clear a request that this process has seen to end well of late."""
-        if not self.suspects.was_sound(digest, now):
+        exclude = '' if sender == THIS_HOST else sender
+        self.disseminator.broadcast(
+            [(f.digest, f.incarnation) for f in new_facts], exclude
+        )
+        for digest in dict.fromkeys(fact.digest for fact in new_facts):
+            self._clear_if_succeeded(digest, now)
+            self._check(digest, why or 'reported by %s' % sender)
+
+    def _clear_if_succeeded(self, digest: str, now: float) -> None:
+        """Clear a suspected request that succeeded here recently."""
+        if not self.suspects.recently_succeeded(digest, now):
             return
-        if self.suspects.standing(digest, now).crashes >= DOUBTED:
-            facts = self.suspects.clearing(digest, now)
-            self._clear(facts, 'it ended well here of late')
+        if self.suspects.standing(digest, now).crashes >= CLEAR_AT_CRASHES:
+            facts = self.suspects.clearing_facts(digest, now)
+            self._clear(facts, 'it succeeded here recently')
 
     def _check(self, digest: str, why: str) -> None:
-        """Tell when a request begins or ceases to be refused."""
+        """Log and count the start or the end of a refusal."""
         standing = self.standing(digest)
         refused = standing.refused_s > 0
         if refused == (digest in self.refused):
@@ -249,16 +269,16 @@
             why,
             standing.crashes,
             standing.cleared,
-            ' '.join(standing.lives),
+            ' '.join(standing.incarnations),
             int(standing.age_s * MS),
             int(standing.refused_s * MS),
         )
         self.recorder.tell(event, decisions.BELIEF)
 
-    # What operators see
+    # Metrics and local API
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
-        """Yield the samples."""
+        """Yield the metrics of the quarantine."""
         suspects = len(self.suspects.crashes)
         yield metrics.Sample('quarantine_suspects', suspects)
         yield metrics.Sample('quarantine_refused', len(self.refused))
@@ -269,8 +289,8 @@
         yield metrics.Sample('quarantine_refused_total', counts['refused'])
         yield metrics.Sample('quarantine_released_total', counts['released'])
 
-    def listing(self) -> list[Suspect]:
-        """Return what is known of each request, refused ones first."""
+    def list_suspects(self) -> list[Suspect]:
+        """Return all suspected requests, refused ones first."""
         found = [
             (digest, self.standing(digest)) for digest in self.suspects.crashes
         ]
@@ -280,7 +300,7 @@
                 standing.request,
                 round(standing.refused_s, 1),
                 round(standing.age_s, 1),
-                standing.lives,
+                standing.incarnations,
                 standing.cleared,
             )
             for digest, standing in sorted(
@@ -293,7 +313,7 @@
 
         async def _list(_request: web.Request) -> web.Response:
             return localapi.json_response(
-                [suspect._asdict() for suspect in self.listing()]
+                [suspect._asdict() for suspect in self.list_suspects()]
             )
 
         async def _clear(request: web.Request) -> web.Response:
--- a/carawaystair/request/body.py
+++ b/carawaystair/request/body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: held here, or passed on as it comes."""
+"""The body of a caller's request: buffered, or streamed to the upstream."""
 
 import asyncio
 import typing
@@ -8,115 +8,118 @@
 
 from carawaystair import codes
 from carawaystair.request import call as calls
-from carawaystair.request import caller
 from carawaystair.request import errors
-from carawaystair.request import incoming
-
-# Bodies up to this length are held before anything is sent: a slow caller
-# then takes up no upstream, and the request can be tried again.
-HOLD_BYTES = 64 * 1024
-# Of longer ones so much is read first, which tells them apart.
-FIRST_BYTES = 16 * 1024
-# Bodies of keyed requests are held whole, because the key stands for what
-# the body says; all of them together may take this much memory.
-KEYED_BYTES = 64 * 1024 * 1024
+from carawaystair.request import http_server
+from carawaystair.request import validation
+
+# Bodies up to this length are buffered before anything is sent: a slow caller
+# then occupies no upstream, and the request can be retried.
+MAX_BUFFERED_BYTES = 64 * 1024
+# The part of longer bodies that is read first, for the request's digest.
+PREFIX_BYTES = 16 * 1024
+# Memory for the bodies of all keyed requests.  They are buffered whole,
+# because a repeat of the key is compared with the body.
+MAX_KEYED_BYTES = 64 * 1024 * 1024
 # Methods that get no Content-Length: 0 when there is no body.
 BODILESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
 
-MALFORMED = (errors.BodyError, ConnectionError)
+BODY_ERRORS = (errors.BodyError, ConnectionError)
 
 
-class Begun(typing.NamedTuple):
-    """A body as far as it was read.
+class PartialBody(typing.NamedTuple):
+    """The part of a body that has been read.
 
-    :param data: its bytes.
-    :param whole: whether they are all.
+    :param data: the bytes.
+    :param complete: whether they are the whole body.
     """
 
     data: bytes
-    whole: bool
+    complete: bool
 
 
-class Held:
-    """Holds whole the bodies of keyed requests, in bounded memory."""
+class KeyedBodies:
+    """Bounds the memory for the bodies of keyed requests."""
 
     def __init__(self) -> None:
         self.bytes = 0
 
-    async def hold(
+    async def read(
         self,
         content: streams.StreamReader,
         length: int | None,
         limit: int,
         deadline: float,
     ) -> bytes:
-        """Read a body whole; raises :class:`caller.Refused`.
+        """Read a whole body.
 
-        :param length: its length, None when it comes in chunks.
-        :param limit: bytes at most.
+        :param length: its length, None when it is chunked.
+        :param limit: maximum length.
+        :param deadline: monotonic time by which it must have arrived.
+        :raises validation.Refused: when it can't be read or buffered.
         """
-        # What a body in chunks will need is not known: it must fit whatever
-        # it turns out to be.
-        most = limit if length is None else length
-        if self.bytes + most > KEYED_BYTES:
-            raise caller.Refused(codes.MEMORY_FULL)
-        self.bytes += most
+        # The length of a chunked body is unknown in advance, so the maximum
+        # is reserved for it.
+        reserved = limit if length is None else length
+        if self.bytes + reserved > MAX_KEYED_BYTES:
+            raise validation.Refused(codes.MEMORY_FULL)
+        self.bytes += reserved
         try:
             body = await read(content, limit, limit, deadline)
         finally:
-            self.bytes -= most
+            self.bytes -= reserved
         self.bytes += len(body.data)
         return body.data
 
-    def drop(self, body: bytes) -> None:
-        """Forget a body."""
+    def release(self, body: bytes) -> None:
+        """Give back the memory of a body."""
         self.bytes -= len(body)
 
 
-def declared(request: incoming.Request) -> int | None:
-    """Return the length of a request's body, None when it is in chunks."""
+def declared_length(request: http_server.Request) -> int | None:
+    """Return the length of a request's body, None when it is chunked."""
     length = request.headers.get('Content-Length')
     if length is not None:
         return int(length)
     return None if 'Transfer-Encoding' in request.headers else 0
 
 
-def check(length: int | None, limit: int) -> None:
-    """Refuse a body that declares to be longer than its service allows."""
+def check_length(length: int | None, limit: int) -> None:
+    """Refuse a body whose declared length exceeds the service's limit."""
     if length is not None and length > limit:
-        raise caller.Refused(codes.BODY_TOO_LARGE, '%d bytes' % length)
+        raise validation.Refused(codes.BODY_TOO_LARGE, '%d bytes' % length)
 
 
-def expectation(request: incoming.Request) -> bool:
-    """Tell whether the caller waits for ``100 Continue``."""
+def expects_continue(request: http_server.Request) -> bool:
+    """Return whether the caller waits for ``100 Continue``."""
     value = request.headers.get('Expect')
     if value is None:
         return False
     if value.lower() != '100-continue':
-        raise caller.Refused(codes.EXPECTATION_UNKNOWN)
+        raise validation.Refused(codes.EXPECTATION_UNKNOWN)
     return request.version >= http.HttpVersion11
 
 
-async def begin(
+async def read_start(
     content: streams.StreamReader, limit: int, deadline: float
-) -> Begun:
-    """Read a body, or as much of a long one as is held."""
+) -> PartialBody:
+    """Read a whole body, or the beginning of a long one."""
     if content.is_eof():
         data = content.read_nowait(-1)
         if len(data) > limit:
-            raise caller.Refused(codes.BODY_TOO_LARGE)
-        return Begun(data, True)
-    return await read(content, HOLD_BYTES, limit, deadline)
+            raise validation.Refused(codes.BODY_TOO_LARGE)
+        return PartialBody(data, True)
+    return await read(content, MAX_BUFFERED_BYTES, limit, deadline)
 
 
 async def read(
     content: streams.StreamReader, enough: int, limit: int, deadline: float
-) -> Begun:
-    """Read a body; raises :class:`caller.Refused`.
+) -> PartialBody:
+    """Read a body or its beginning.
 
-    :param enough: stop when more bytes than this are here.
-    :param limit: bytes at most.
-    :param deadline: monotonic time by which they must be here.
+    :param enough: stop once more bytes than this were read.
+    :param limit: maximum length of the body.
+    :param deadline: monotonic time by which it must have arrived.
+    :raises validation.Refused: when it is too long, late or malformed.
     """
     chunks = []
     size = 0
@@ -126,18 +129,18 @@
                 chunks.append(await content.readany())
                 size += len(chunks[-1])
                 if size > limit:
-                    raise caller.Refused(codes.BODY_TOO_LARGE)
+                    raise validation.Refused(codes.BODY_TOO_LARGE)
     except TimeoutError:
-        raise caller.Refused(codes.BODY_LATE) from None
-    except MALFORMED as error:
-        raise caller.Refused(codes.BODY_MALFORMED, str(error)) from None
-    return Begun(b''.join(chunks), content.at_eof())
+        raise validation.Refused(codes.BODY_LATE) from None
+    except BODY_ERRORS as error:
+        raise validation.Refused(codes.BODY_MALFORMED, str(error)) from None
+    return PartialBody(b''.join(chunks), content.at_eof())
 
 
 def framing(length: int | None) -> bytes:
-    """Return the end of a head.
+    """Return the last lines of a request head, which declare the body.
 
-    :param length: bytes of the body, None when it comes in chunks.
+    :param length: bytes of the body, None when it is chunked.
     """
     if length is None:
         return b'Transfer-Encoding: chunked\r\n\r\n'
@@ -145,31 +148,31 @@
 
 
 class Source(typing.NamedTuple):
-    """A body that is passed on as it comes.
+    """A body that is streamed to the upstream.
 
-    :param stream: where it is read from.
-    :param length: its length, None when it comes in chunks.
-    :param begun: the part that was read already.
-    :param limit: bytes at most.
+    :param stream: the reader of its rest.
+    :param length: its length, None when it is chunked.
+    :param prefix: the part that was already read.
+    :param limit: maximum length.
     """
 
     stream: streams.StreamReader
     length: int | None
-    begun: bytes
+    prefix: bytes
     limit: int
 
 
 def source(call: calls.Call) -> Source:
-    """Return the body of a request that is not held here."""
+    """Return the streamed body of a request."""
     limit = call.match.service.max_body
-    return Source(call.stream, call.length, call.begun, limit)
+    return Source(call.stream, call.length, call.body_prefix, limit)
 
 
 class Pump:
-    """Passes a body on to an upstream, as fast as that takes it.
+    """Streams a body to an upstream, with back-pressure.
 
     :param source: the body.
-    :param proto: the upstream's connection.
+    :param proto: the protocol of the upstream's connection.
     """
 
     def __init__(self, source: Source, proto) -> None:
@@ -177,60 +180,61 @@
         self.proto = proto
         self.writer = http.StreamWriter(proto, asyncio.get_running_loop())
         self.task: asyncio.Task | None = None
-        # What went wrong on the caller's side, if anything did.
-        self.refused: caller.Refused | None = None
+        # The failure on the caller's side, if there was one.
+        self.refusal: validation.Refused | None = None
 
     def framing(self) -> bytes:
-        """Return the end of the head, which tells how long the body is."""
+        """Return the last lines of the head, which declare the body."""
         return framing(self.source.length)
 
     def start(self) -> None:
-        """Send the body from a task of its own; the head has gone out."""
+        """Start a task that sends the body; the head was sent before."""
         if self.source.length is None:
             self.writer.enable_chunking()
         self.task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
-        """Pass the body on; on any fault the connection is cut.
+        """Send the body; abort the connection on any failure.
 
-        Cutting it is what keeps an upstream from taking half a body for a
-        whole one.
+        Otherwise, the upstream could take a truncated body for a whole one.
         """
         limit = self.source.limit
-        passed = len(self.source.begun)
+        sent = len(self.source.prefix)
         content = self.source.stream
         try:
-            if passed:
-                await self.send(self.source.begun)
+            if sent:
+                await self.send(self.source.prefix)
             while not content.at_eof():
                 chunk = await content.readany()
-                passed += len(chunk)
-                if passed > limit:
-                    raise caller.Refused(codes.BODY_TOO_LARGE)
+                sent += len(chunk)
+                if sent > limit:
+                    raise validation.Refused(codes.BODY_TOO_LARGE)
                 await self.send(chunk)
             await self.writer.write_eof()
-        except caller.Refused as refused:
-            self.refused = refused
-            self.cut()
-        except MALFORMED as error:
+        except validation.Refused as refused:
+            self.refusal = refused
+            self.abort()
+        except BODY_ERRORS as error:
             if content.exception() is not None:
-                self.refused = caller.Refused(codes.BODY_MALFORMED, str(error))
-            self.cut()
+                self.refusal = validation.Refused(
+                    codes.BODY_MALFORMED, str(error)
+                )
+            self.abort()
         except asyncio.CancelledError:
-            self.cut()
+            self.abort()
             raise
 
     async def send(self, data: bytes) -> None:
-        """Pass some bytes on."""
+        """Send some bytes."""
         await self.writer.write(data)
 
-    def cut(self) -> None:
-        """Break the upstream's connection."""
+    def abort(self) -> None:
+        """Abort the upstream's connection."""
         if self.proto.transport is not None:
             self.proto.transport.abort()
 
     @property
-    def done(self) -> bool:
-        """Tell whether the whole body was passed on."""
+    def finished(self) -> bool:
+        """Return whether the whole body was sent."""
         task = self.task
         return task is not None and task.done() and not task.cancelled()
--- a/carawaystair/request/exchange.py
+++ b/carawaystair/request/exchange.py
@@ -1,4 +1,4 @@
-"""What goes back to the caller of one request, written exactly once."""
+"""The answer to the caller of one request, which is written exactly once."""
 
 import asyncio
 import functools
@@ -11,17 +11,17 @@
 from carawaystair import invariants
 from carawaystair.request import answer as answers
 from carawaystair.request import headers
-from carawaystair.request import incoming
+from carawaystair.request import http_server
 
-# A caller that takes no bytes for so long has gone, seconds.
-CALLER_STALL_S = 30.0
-LONGEST_PHRASE = 64
-CLOSE = b'\r\nConnection: close\r\n\r\n'
+# A caller that reads nothing for this time counts as gone.
+CALLER_STALL_TIMEOUT_S = 30.0
+MAX_PHRASE_LENGTH = 64
+CLOSE_HEADER = b'\r\nConnection: close\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 class Problem(typing.NamedTuple):
-    """The JSON body of an answer that is this node's own."""
+    """The JSON body of an error answer of this node."""
 
     code: str
     name: str
@@ -39,30 +39,30 @@
 
     __slots__ = ('id', 'keep_alive', 'outcome', 'request')
 
-    def __init__(self, request: incoming.Request, id: str) -> None:
+    def __init__(self, request: http_server.Request, id: str) -> None:
         self.request = request
         self.id = id
         self.keep_alive = request.keep_alive
-        # What the caller was told, None so far.
+        # The outcome that was sent to the caller, None before that.
         self.outcome: str | None = None
 
-    def whole(
+    def write_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> None:
-        """Write an upstream's whole answer.
+        """Write a complete answer of an upstream.
 
         :param extra: header lines to add.
         """
-        self.write(self.packed(answer, code, extra))
+        self.write(self.encode_answer(answer, code, extra))
 
-    def packed(
+    def encode_answer(
         self, answer: answers.Answer, code: codes.Code, extra: bytes = b''
     ) -> bytes:
-        """Return the bytes of an upstream's whole answer.
+        """Return the bytes of a complete answer of an upstream.
 
         :param extra: header lines to add.
         """
-        bodiless = answer.status in answers.BODILESS
+        bodiless = answer.status in answers.BODILESS_STATUSES
         if self.request.method == 'HEAD' or answer.status == 304:
             length = headers.value(answer.headers, b'content-length')
         else:
@@ -73,15 +73,15 @@
         head = self.head(answer, codes.COMPLETE, code, framing + extra)
         return head + answer.body
 
-    def begin(
+    def begin_answer(
         self,
         answer: answers.Answer,
         length: int | None,
         extra: bytes = b'',
     ) -> None:
-        """Write the head of a long answer.
+        """Write the head of an answer whose body is streamed.
 
-        :param length: bytes of its body, None when they are not known.
+        :param length: bytes of its body, None when unknown.
         :param extra: header lines to add.
         """
         if length is not None:
@@ -95,7 +95,7 @@
         framing += extra
         self.write(self.head(answer, codes.COMPLETE, codes.OK, framing))
 
-    def refuse(
+    def write_error(
         self,
         code: codes.Code,
         outcome: str,
@@ -103,11 +103,11 @@
         retry_after_s: float = 1.0,
         status: int = 0,
     ) -> None:
-        """Write an answer of this node's own.
+        """Write an error answer of this node.
 
-        :param status: its status; 0 for that of the code.
+        :param status: the status code; 0 for that of the result code.
         """
-        answer = own(code, detail, self.id, retry_after_s, status)
+        answer = error_answer(code, detail, self.id, retry_after_s, status)
         framing = b'Content-Length: %d\r\n' % len(answer.body)
         head = self.head(answer, outcome, code, framing)
         self.write(
@@ -121,63 +121,70 @@
         code: codes.Code,
         framing: bytes,
     ) -> bytes:
-        """Return the head of the answer, and keep its outcome."""
+        """Return the head of the answer, and remember its outcome."""
         invariants.check(invariants.ONE_OUTCOME, self.outcome is None, self.id)
         self.outcome = outcome
         if not self.request.content.is_eof():
-            # What is left of its body must not be read as a request.
+            # The rest of its body must not be parsed as a request.
             self.keep_alive = False
         return b''.join(
             (
-                first_line(answer.status, answer.reason),
-                headers.lines(answer.headers, answer.connection),
+                status_line(answer.status, answer.reason),
+                headers.forwarded_lines(answer.headers, answer.connection),
                 framing,
-                told(outcome, code),
+                outcome_headers(outcome, code),
                 self.id.encode(),
-                b'\r\n\r\n' if self.keep_alive else CLOSE,
+                b'\r\n\r\n' if self.keep_alive else CLOSE_HEADER,
             )
         )
 
     def write(self, data: bytes) -> None:
-        """Write to the caller; raises ``ConnectionError`` when it is gone."""
+        """Write to the caller.
+
+        :raises ConnectionError: when the caller has left.
+        """
         self.request.write(data)
 
-    def proceed(self) -> None:
-        """Tell a caller that waits for it to send its body."""
+    def send_continue(self) -> None:
+        """Send ``100 Continue`` to a caller that waits for it."""
         self.write(CONTINUE)
 
-    def cut(self) -> None:
-        """Break the caller's connection, so that it sees a broken answer."""
+    def abort(self) -> None:
+        """Abort the caller's connection, so that its answer is not whole."""
         transport = self.request.connection.transport
         if transport is not None:
             transport.abort()
 
-    async def drained(self) -> None:
-        """Wait until the caller has taken most of what was written.
+    async def wait_drained(self) -> None:
+        """Wait until the caller has read most of what was written.
 
-        :raises ConnectionError: when it takes nothing for long, too.
+        :raises ConnectionError: when it has left, or reads nothing for
+            ``CALLER_STALL_TIMEOUT_S``.
         """
-        held = self.request.held is not None
-        if held or not self.request.connection.writing_paused:
+        buffered = self.request.unsent is not None
+        if buffered or not self.request.connection.writing_paused:
             return
         try:
-            async with asyncio.timeout(CALLER_STALL_S):
+            async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
                 await self.request.writer.drain()
         except TimeoutError:
-            self.cut()
-            raise ConnectionAbortedError('the caller stalls') from None
+            self.abort()
+            raise ConnectionAbortedError('caller stopped reading') from None
 
 
 @functools.lru_cache(256)
-def first_line(status: int, reason: str) -> bytes:
-    """Return the first line of an answer."""
-    line = 'HTTP/1.1 %d %s\r\n' % (status, reason[:LONGEST_PHRASE])
+def status_line(status: int, reason: str) -> bytes:
+    """Return the status line of an answer."""
+    line = 'HTTP/1.1 %d %s\r\n' % (status, reason[:MAX_PHRASE_LENGTH])
     return line.encode('utf-8', 'surrogateescape')
 
 
 @functools.lru_cache(256)
-def told(outcome: str, code: codes.Code) -> bytes:
-    """Return the headers that tell what came of a request."""
+def outcome_headers(outcome: str, code: codes.Code) -> bytes:
+    """Return the headers that carry the outcome, code and request id.
+
+    The id itself is to be appended.
+    """
     lines = '%s: %s\r\n%s: %s\r\n%s: ' % (
         headers.OUTCOME,
         outcome,
@@ -188,18 +195,18 @@
     return lines.encode()
 
 
-def own(
+def error_answer(
     code: codes.Code,
     detail: str,
     id: str,
     retry_after_s: float,
     status: int = 0,
 ) -> answers.Answer:
-    """Return an answer of this node's own.
+    """Return an error answer of this node.
 
-    :param retry_after_s: whole seconds, or a fraction where callers read
+    :param retry_after_s: whole seconds, or a fraction if callers accept
         one.
-    :param status: its status; 0 for that of the code.
+    :param status: the status code; 0 for that of the result code.
     """
     status = status or code.status
     problem = Problem(code.label, code.name, code.text, detail, id)
@@ -207,25 +214,27 @@
     extra = [(b'Content-Type', b'application/json')]
     if status in (429, 503) or code is codes.KEY_RUNNING:
         extra.append((b'Retry-After', b'%g' % round(retry_after_s, 2)))
-    return answers.Answer(status, phrase(status), extra, None, body)
+    return answers.Answer(status, reason_phrase(status), extra, None, body)
 
 
-def problem(code: codes.Code, outcome: str, detail: str, id: str) -> bytes:
-    """Return the last answer of a connection, about no request."""
-    answer = own(code, detail, id, 1.0)
+def encode_error(
+    code: codes.Code, outcome: str, detail: str, id: str
+) -> bytes:
+    """Return the bytes of an error answer that closes a connection."""
+    answer = error_answer(code, detail, id, 1.0)
     return b''.join(
         (
-            first_line(answer.status, answer.reason),
-            headers.lines(answer.headers, None),
+            status_line(answer.status, answer.reason),
+            headers.forwarded_lines(answer.headers, None),
             b'Content-Length: %d\r\n' % len(answer.body),
-            told(outcome, code),
+            outcome_headers(outcome, code),
             id.encode(),
-            CLOSE,
+            CLOSE_HEADER,
             answer.body,
         )
     )
 
 
-def phrase(status: int) -> str:
-    """Return the phrase that goes with a status."""
+def reason_phrase(status: int) -> str:
+    """Return the reason phrase of a status."""
     return http.HTTPStatus(status).phrase
--- a/carawaystair/request/headers.py
+++ b/carawaystair/request/headers.py
@@ -1,7 +1,7 @@
-"""Which headers travel, in both directions, as raw bytes.
+"""Forwarding of HTTP headers, in both directions, as raw bytes.
 
-Headers are passed on as the bytes that arrived, so that nothing is decoded
-and encoded again on the path of a good request.
+Headers are forwarded as the bytes that arrived, which saves decoding and
+encoding them for every request.
 """
 
 import typing
@@ -11,10 +11,10 @@
 REQUEST_ID = 'Caraway-Request-Id'
 OUTCOME = 'Caraway-Outcome'
 CODE = 'Caraway-Code'
-KEY = 'Idempotency-Key'
-OWN = b'caraway-'
+IDEMPOTENCY_KEY = 'Idempotency-Key'
+FLEET_PREFIX = b'caraway-'
 
-# RFC 9110 7.6.1: these concern one connection and end at each hop.
+# Headers that apply to one connection only (RFC 9110 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -28,77 +28,76 @@
         b'upgrade',
     )
 )
-# This node frames bodies anew and answers expectations itself.
+# This node sets the framing of bodies and answers expectations itself.
 REFRAMED = HOP_BY_HOP | {b'content-length', b'expect'}
-# Names in Connection that say nothing about other headers.
+# Options in Connection that don't name other headers.
 PERSISTENCE = frozenset((b'close', b'keep-alive'))
-# Longer names are not remembered: a caller could fill memory with them.
-LONGEST_REMEMBERED = 48
-MOST_REMEMBERED = 1024
+# Bounds of the cache below, which a caller could otherwise fill with names.
+MAX_CACHED_LENGTH = 48
+MAX_CACHED_NAMES = 1024
 
 Raw = typing.Sequence[tuple[bytes, bytes]]
 
+# Results of is_forwarded, by name.
+_FORWARDED: dict[bytes, bool] = {}
 
-# What was found out about names, so that each is looked at once.
-_TRAVELS: dict[bytes, bool] = {}
 
+def is_forwarded(name: bytes) -> bool:
+    """Return whether a header is forwarded to the other side.
 
-def travels(name: bytes) -> bool:
-    """Tell whether a header goes on to the other side.
-
-    The fleet's own headers do not: nobody outside may speak for it.
+    The fleet's own headers are not, so that nobody outside can forge them.
     """
     lower = name.lower()
-    found = lower not in REFRAMED and not lower.startswith(OWN)
-    if len(name) <= LONGEST_REMEMBERED and len(_TRAVELS) < MOST_REMEMBERED:
-        _TRAVELS[name] = found
+    found = lower not in REFRAMED and not lower.startswith(FLEET_PREFIX)
+    if len(name) <= MAX_CACHED_LENGTH and len(_FORWARDED) < MAX_CACHED_NAMES:
+        _FORWARDED[name] = found
     return found
 
 
-def named(connection: str) -> frozenset[bytes]:
-    """Return the header names that a ``Connection`` value lists."""
+def connection_options(connection: str) -> frozenset[bytes]:
+    """Return the header names listed in a ``Connection`` value."""
     names = connection.encode('utf-8', 'surrogateescape').lower().split(b',')
     return frozenset(name.strip() for name in names) - PERSISTENCE
 
 
-def lines(raw: Raw, connection: str | None) -> bytes:
-    """Return the lines of the headers that go on, each with its line end.
+def forwarded_lines(raw: Raw, connection: str | None) -> bytes:
+    """Return the lines of the headers to forward, each with its line end.
 
     :param raw: names and values as they arrived.
     :param connection: all values of ``Connection``, joined by commas.
     """
     if connection:
-        dropped = named(connection)
+        dropped = connection_options(connection)
         raw = [pair for pair in raw if pair[0].lower() not in dropped]
-    known = _TRAVELS
+    known = _FORWARDED
     kept = []
     for pair in raw:
-        goes = known.get(pair[0])
-        if goes is None:
-            goes = travels(pair[0])
-        if goes:
+        forwarded = known.get(pair[0])
+        if forwarded is None:
+            forwarded = is_forwarded(pair[0])
+        if forwarded:
             kept.append(b'%b: %b\r\n' % pair)
     return b''.join(kept)
 
 
-def connection(given) -> str | None:
+def connection_value(fields) -> str | None:
     """Return all values of ``Connection``, joined by commas.
 
-    :param given: a multidict of the headers.
+    :param fields: a multidict of the headers.
     """
-    if 'Connection' not in given:
+    if 'Connection' not in fields:
         return None
-    return ','.join(given.getall('Connection'))
+    return ','.join(fields.getall('Connection'))
 
 
-def head(method: str, path: str, given, raw: Raw) -> bytes:
-    """Return the request line and the lines of the headers that go on.
+def request_head(method: str, path: str, fields, raw: Raw) -> bytes:
+    """Return the request line and the lines of the headers to forward.
 
-    :param given: the headers as they arrived, for ``Connection``.
-    :param raw: those of them that may go on.
+    :param fields: the headers as they arrived, for ``Connection``.
+    :param raw: those of them that may be forwarded.
     """
     first = '%s %s HTTP/1.1\r\n' % (method, path)
-    return first.encode() + lines(raw, connection(given))
+    return first.encode() + forwarded_lines(raw, connection_value(fields))
 
 
 def value(raw: Raw, wanted: bytes) -> bytes | None:
--- /dev/null
+++ b/carawaystair/request/http_server.py
@@ -0,0 +1,470 @@
+"""The server side of an HTTP connection, over aiohttp's parser.
+
+One task serves a connection, request after request.  aiohttp's own server
+creates a task for every request, has no timeout for a head that arrives
+slowly, and lets the reader of a malformed body wait for ever.
+"""
+
+import asyncio
+import collections
+import socket
+import typing
+
+from aiohttp import http
+from aiohttp import streams
+
+from carawaystair.request import errors
+from carawaystair.request import protocol
+
+# Bounds of a request head, which bound the memory of a connection whatever a
+# caller sends.
+MAX_LINE_BYTES = 8 * 1024
+MAX_HEADERS = 100
+# Reading pauses when twice this much of a body is buffered.
+READ_BUFFER_BYTES = 64 * 1024
+# Requests that a caller may send before earlier ones are answered; reading
+# pauses at this number.
+MAX_PIPELINED = 8
+# Memory on one connection for answers that wait for earlier ones.  While it is
+# full, no further pipelined request is started.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Time after which an idle connection is closed.
+IDLE_TIMEOUT_S = 75.0
+# Time in which a request head must arrive after its first byte.
+HEAD_TIMEOUT_S = 10.0
+HEAD_END = b'\r\n\r\n'
+# Time for reading the rest of an unused body before the connection is closed,
+# so that the caller can read its answer.
+LINGER_TIMEOUT_S = 2.0
+
+MESSAGE = http.RawRequestMessage
+
+
+class Bounds(typing.NamedTuple):
+    """Bounds on what a caller may send, and how long it may take.
+
+    :param line_bytes: bytes of one header line, or of the request line.
+    :param head_s: time in which a head must arrive after its first byte,
+        seconds.
+    :param idle_s: time after which an idle connection is closed, seconds.
+    :param ack_timeout_s: time after which a connection whose sent data is
+        not acknowledged counts as lost, seconds; 0 leaves that to the
+        system.
+    """
+
+    line_bytes: int = MAX_LINE_BYTES
+    head_s: float = HEAD_TIMEOUT_S
+    idle_s: float = IDLE_TIMEOUT_S
+    ack_timeout_s: float = 0.0
+
+
+DEFAULT_BOUNDS = Bounds()
+
+
+class Request:
+    """One request on a connection.
+
+    :param message: its head.
+    :param content: the reader of its body.
+    :param connection: the connection that it arrived on.
+    :param arrived: monotonic time at which its head was read.
+    """
+
+    __slots__ = (
+        'arrived_at',
+        'connection',
+        'content',
+        'headers',
+        'unsent',
+        'keep_alive',
+        'stream_writer',
+        'method',
+        'raw_headers',
+        'raw_path',
+        'turn_waiter',
+        'version',
+    )
+
+    def __init__(
+        self,
+        message: http.RawRequestMessage,
+        content: streams.StreamReader,
+        connection: 'Connection',
+        arrived: float,
+    ) -> None:
+        self.method = message.method
+        self.raw_path = message.path
+        self.version = message.version
+        self.headers = message.headers
+        self.raw_headers = message.raw_headers
+        self.keep_alive = not (message.should_close or message.upgrade)
+        self.content = content
+        self.connection = connection
+        self.arrived_at = arrived
+        self.stream_writer: http.StreamWriter | None = None
+        # Buffered parts of the answer while earlier requests on the
+        # connection are not answered; None once they may be written.
+        self.unsent: list[bytes] | None = None
+        # Set while a task waits for the earlier answers.
+        self.turn_waiter: asyncio.Future | None = None
+
+    def write(self, data: bytes) -> None:
+        """Write to the caller, or buffer until earlier answers are written.
+
+        :raises ConnectionResetError: when the caller has left.
+        """
+        if self.unsent is None:
+            self.connection.write(data)
+        else:
+            self.unsent.append(data)
+
+    def release(self) -> None:
+        """Write the buffered answer, after all earlier ones."""
+        buffered, self.unsent = self.unsent, None
+        if buffered:
+            self.connection.write(b''.join(buffered))
+        if self.turn_waiter is not None:
+            self.turn_waiter.set_result(None)
+
+    async def wait_turn(self) -> None:
+        """Wait until the earlier answers were written."""
+        if self.unsent is not None:
+            self.turn_waiter = asyncio.get_running_loop().create_future()
+            await self.turn_waiter
+
+    @property
+    def writer(self) -> http.StreamWriter:
+        """Return the writer for an answer whose body is streamed."""
+        if self.stream_writer is None:
+            connection = self.connection
+            self.stream_writer = http.StreamWriter(connection, connection.loop)
+        return self.stream_writer
+
+
+def set_user_timeout(
+    transport: asyncio.BaseTransport, ack_timeout_s: float
+) -> None:
+    """Abort a connection when sent data is not acknowledged in time.
+
+    Without it, when the peer has left and its close was lost, a request on
+    the connection may run minutes later although nobody waits for it.
+    """
+    raw = transport.get_extra_info('socket')
+    if raw is not None:
+        raw.setsockopt(
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            int(ack_timeout_s * 1000),
+        )
+
+
+Handle = typing.Callable[[Request], typing.Awaitable[bool]]
+RequestPredicate = typing.Callable[[Request], bool]
+
+
+class PipelinedRequest(typing.NamedTuple):
+    """A request that runs before earlier ones are answered.
+
+    :param request: the request.
+    :param task: answers it; returns whether another one may follow.
+    """
+
+    request: Request
+    task: asyncio.Task
+
+
+class Connection(protocol.Protocol):
+    """One caller's connection.
+
+    :param loop: the event loop.
+    :param handle: answers a request; returns whether another may follow.
+    :param refuse: answers bytes that are not a valid request.
+    :param connections: all connections of the listener.
+    :param bounds: bounds on what the caller may send.
+    :param may_pipeline: returns whether a request may run before earlier
+        ones on the connection are answered; None if none may.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        handle: Handle,
+        refuse: typing.Callable[['Connection', errors.Malformed], None],
+        connections: set['Connection'],
+        bounds: Bounds = DEFAULT_BOUNDS,
+        may_pipeline: RequestPredicate | None = None,
+    ) -> None:
+        parser = http.HttpRequestParser(
+            self,
+            loop,
+            READ_BUFFER_BYTES,
+            max_line_size=bounds.line_bytes,
+            max_headers=MAX_HEADERS,
+            max_field_size=bounds.line_bytes,
+            auto_decompress=False,
+            max_msg_queue_size=MAX_PIPELINED,
+        )
+        super().__init__(loop, parser)
+        self.handle = handle
+        self.refuse = refuse
+        self.connections = connections
+        self.bounds = bounds
+        self.may_pipeline = may_pipeline
+        # Whether the connection broke instead of being closed.
+        self.broken = False
+        # Whether the caller closed or broke the connection.
+        self.closed_by_caller = False
+        # Requests that were read but not started, with their arrival times.
+        self.queue: collections.deque = collections.deque()
+        # Whether a request is being answered, and the later ones that run
+        # at the same time.
+        self.answering = False
+        self.pipelined: collections.deque[PipelinedRequest] = (
+            collections.deque()
+        )
+        self.content = streams.EMPTY_PAYLOAD
+        # The error after which no further request can be read.
+        self.error: errors.Malformed | None = None
+        # Set while the task waits for a request.
+        self.waiter: asyncio.Future | None = None
+        self.head_started = False
+        self.task: asyncio.Task | None = None
+
+    # Tasks: one for the connection, and one for each pipelined request
+
+    async def serve(self) -> None:
+        """Answer the requests of this connection, one after another."""
+        try:
+            while self.pipelined or await self._wait_request():
+                self.answering = True
+                if not await self._answer_next():
+                    break
+                self.answering = False
+            else:
+                if self.error is not None:
+                    self.refuse(self, self.error)
+            await self._drain_body()
+        except ConnectionError:
+            # The caller has left.
+            pass
+        finally:
+            if self.transport is not None:
+                self.transport.close()
+            # Requests after the last answered one count as not read.
+            for pipelined in self.pipelined:
+                pipelined.task.cancel()
+
+    async def _answer_next(self) -> bool:
+        """Answer the first request; return whether another may follow."""
+        if self.pipelined:
+            first = self.pipelined[0]
+            first.request.release()
+            keep_alive = await first.task
+            self.pipelined.popleft()
+            self._start_pipelined()
+            return keep_alive
+        # A request that arrived together with the caller's close must not
+        # run.  The end of a stream is read one iteration of the event loop
+        # after the bytes before it.
+        await asyncio.sleep(0)
+        if not self.open:
+            return False
+        request = self._take_request()
+        self._start_pipelined()
+        return await self.handle(request)
+
+    def _take_request(self) -> Request:
+        """Remove the next request from the queue and return it."""
+        message, self.content, arrived = self.queue.popleft()
+        self._resume_parser()
+        return Request(message, self.content, self, arrived)
+
+    def _start_pipelined(self) -> None:
+        """Start the queued requests that may run concurrently.
+
+        Otherwise, the last of several requests that a caller sends at once
+        would wait until all others are answered.
+        """
+        if self.may_pipeline is None:
+            return
+        while self.queue and len(self.pipelined) < MAX_PIPELINED:
+            message, content, arrived = self.queue[0]
+            request = Request(message, content, self, arrived)
+            if not self.may_pipeline(request) or self._buffer_full():
+                return
+            self.queue.popleft()
+            request.unsent = []
+            task = self.loop.create_task(self._handle_pipelined(request))
+            self.pipelined.append(PipelinedRequest(request, task))
+            self._resume_parser()
+
+    async def _handle_pipelined(self, request: Request) -> bool:
+        # As above, a caller's close is seen one iteration of the event loop
+        # later than its requests.
+        await asyncio.sleep(0)
+        return self.open and await self.handle(request)
+
+    def _buffer_full(self) -> bool:
+        """Return whether waiting answers use up ``MAX_BUFFERED_BYTES``."""
+        buffered = sum(
+            len(data)
+            for pipelined in self.pipelined
+            for data in pipelined.request.unsent or ()
+        )
+        return buffered >= MAX_BUFFERED_BYTES
+
+    async def _wait_request(self) -> bool:
+        """Wait for a request; return whether there is one."""
+        if not self.queue and self.error is None:
+            self.head_started = False
+            self._set_timer(self.loop.time() + self.bounds.idle_s)
+            self.waiter = self.loop.create_future()
+            try:
+                await self.waiter
+            finally:
+                self.waiter = None
+        return bool(self.queue)
+
+    def _resume_parser(self) -> None:
+        """Resume the parser if it paused at ``MAX_PIPELINED`` requests."""
+        self._parser.message_consumed()
+        if self.queue:
+            return
+        # It may have paused while reading was not paused: after a long body,
+        # the queue then has one request less than the maximum.
+        self.data_received(b'')
+        if self._buffer_paused and len(self.queue) < MAX_PIPELINED:
+            self._resume_reading_for_buffer()
+
+    async def _drain_body(self) -> None:
+        """Read the rest of a body before closing.
+
+        Closing with unread bytes makes the kernel reset the connection, and
+        the caller may lose the answer that explains the close.
+        """
+        transport = self.transport
+        if transport is None or self.content.is_eof():
+            return
+        try:
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
+                while not self.content.at_eof():
+                    await self.content.readany()
+        except (TimeoutError, errors.BodyError):
+            pass
+
+    @property
+    def idle(self) -> bool:
+        """Return whether no request is being read or answered."""
+        return self._awaiting_request() and not self.head_started
+
+    def write(self, data: bytes) -> None:
+        """Write to the caller.
+
+        :raises ConnectionResetError: when the connection is closed.
+        """
+        if not self.open:
+            raise ConnectionResetError('connection is closed')
+        self.transport.write(data)
+
+    # Callbacks from asyncio
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start to serve the connection."""
+        super().connection_made(transport)
+        if self.bounds.ack_timeout_s:
+            set_user_timeout(transport, self.bounds.ack_timeout_s)
+        self.connections.add(self)
+        self.task = self.loop.create_task(self.serve())
+
+    def data_received(self, data: bytes) -> None:
+        """Parse received data and queue the requests in it."""
+        if self.error is not None:
+            return
+        messages = self._parse(data)
+        if messages:
+            now = self.loop.time()
+            self.queue.extend((*message, now) for message in messages)
+            if self.answering:
+                self._start_pipelined()
+            self._wake()
+            if len(self.queue) >= MAX_PIPELINED and not self._buffer_paused:
+                self._pause_reading_for_buffer()
+        elif self.idle and data:
+            self.head_started = True
+            self._set_timer(self.loop.time() + self.bounds.head_s)
+
+    def _parse(self, data: bytes) -> list:
+        """Return the requests whose heads are completed by the data.
+
+        The parser gets one head at a time: at an error it discards all
+        requests in the same piece of data, so that valid requests before
+        the error would not be answered.
+        """
+        messages: list = []
+        try:
+            while True:
+                end = data.find(HEAD_END) + len(HEAD_END)
+                if end < len(HEAD_END):
+                    end = len(data)
+                found, _upgraded, _tail = self._parser.feed_data(data[:end])
+                messages.extend(found)
+                data = data[end:]
+                if not data:
+                    break
+        except Exception as error:
+            if messages and not messages[-1][1].is_eof():
+                # The error is in the body of that request, which is invalid,
+                # too.
+                messages.pop()
+            self._reject_input(errors.Malformed(error))
+        return messages
+
+    def eof_received(self) -> None:
+        """Note that the caller closed; asyncio then closes our side."""
+        self.closed_by_caller = True
+
+    def connection_lost(self, exc: BaseException | None) -> None:
+        """Cancel the requests in progress on the connection."""
+        super().connection_lost(exc)
+        self.broken = exc is not None
+        self.closed_by_caller = self.closed_by_caller or self.broken
+        self.connections.discard(self)
+        if self.timer is not None:
+            self.timer.cancel()
+        self._end_bodies(errors.BodyError('connection was closed'))
+        if self.task is not None:
+            self.task.cancel()
+
+    # Errors
+
+    def _reject_input(self, error: errors.Malformed) -> None:
+        """Stop reading: no further request can be recognised."""
+        self.error = error
+        self._end_bodies(errors.BodyError(str(error)))
+        self._wake()
+
+    def _end_bodies(self, error: errors.BodyError) -> None:
+        """Raise an error in the readers of incomplete bodies."""
+        contents = [content for _message, content, _at in self.queue]
+        for content in (self.content, *contents):
+            if not content.is_eof():
+                content.set_exception(error)
+
+    def _awaiting_request(self) -> bool:
+        # After a request was read, the task is still waiting for one more
+        # iteration of the event loop.  If the connection counted as idle
+        # then, it could be closed without an answer.
+        return self.waiter is not None and not self.waiter.done()
+
+    def _wake(self) -> None:
+        if self._awaiting_request():
+            self.waiter.set_result(None)
+
+    # Timer
+
+    def _on_timer(self) -> None:
+        self.timer = None
+        if self.loop.time() < self.timer_until:
+            self._set_timer(self.timer_until)
+        elif self._awaiting_request() and self.transport is not None:
+            self.transport.close()
--- a/carawaystair/request/service.py
+++ b/carawaystair/request/service.py
@@ -1,4 +1,4 @@
-"""The service that answers callers: its start, its stop and its sweeps."""
+"""The service that answers callers: start, stop and periodic clean-up."""
 
 import asyncio
 import typing
@@ -8,22 +8,22 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair import metrics
-from carawaystair.request import choosing
 from carawaystair.request import connections
 from carawaystair.request import handler as handlers
 from carawaystair.request import listener as listeners
 from carawaystair.request import meters
+from carawaystair.request import selection
 from carawaystair.request import sender as senders
 from carawaystair import routing as routings
 
-# Callers' idle connections stay open for so long after a stop has begun, so
-# that a request that was on its way is still answered; seconds.
+# Callers' idle connections stay open for this time after a stop has begun, so
+# that requests that are on their way are still answered.
 IDLE_GRACE_S = 0.5
 STOP_POLL_S = 0.01
 
 
 class Parts(typing.NamedTuple):
-    """The other parts of the node that the path works with."""
+    """The other parts of the node that the request path uses."""
 
     directory: interfaces.Directory
     health: interfaces.Health
@@ -46,7 +46,7 @@
         super().__init__(**kwargs)
         self.kernel = kernel
         self.parts = parts
-        self.chooser: choosing.Chooser | None = None
+        self.selector: selection.Selector | None = None
         self.sender: senders.Sender | None = None
         self.handler: handlers.Handler | None = None
         self.listener: listeners.Listener | None = None
@@ -55,20 +55,20 @@
         """Listen for callers."""
         parts = self.parts
         settings = self.kernel.settings
-        place = choosing.Place(
+        location = selection.Location(
             settings.host, settings.data_centre, settings.region
         )
         balancers = self.kernel.registry.collect('balancers')
-        self.chooser = choosing.Chooser(
-            place, parts.directory, parts.health, parts.routing, balancers
+        self.selector = selection.Selector(
+            location, parts.directory, parts.health, parts.routing, balancers
         )
         self.sender = senders.Sender(
-            self.chooser, parts.health, parts.evidence, parts.quarantine
+            self.selector, parts.health, parts.evidence, parts.quarantine
         )
         counts = meters.Meters(self.kernel.timeline)
         metrics.collect(counts.samples)
         metrics.collect(self.sender.samples)
-        # The time of the start keeps ids of two runs of this host apart.
+        # The start time makes request ids unique across restarts.
         start = clock.wall_ms() & 0xFFFFFFFF
         self.handler = handlers.Handler(
             settings.host,
@@ -85,26 +85,26 @@
         await self.listener.listen(settings.bound(settings.node.listen))
 
     async def on_stop(self) -> None:
-        """Take no new work, finish what is in flight, then close."""
+        """Stop listening, wait for requests in flight, then close."""
         if self.listener is None:
             return
         now = clock.now()
         handler = self.handler
-        handler.ends = now + self.kernel.settings.node.drain_s
+        handler.stop_deadline = now + self.kernel.settings.node.drain_s
         self.listener.close()
-        grace = min(now + IDLE_GRACE_S, handler.ends)
-        while clock.now() < handler.ends:
-            busy = handler.active or self.listener.sending
+        grace = min(now + IDLE_GRACE_S, handler.stop_deadline)
+        while clock.now() < handler.stop_deadline:
+            busy = handler.active or self.listener.has_unsent_data
             if not busy and clock.now() >= grace:
                 break
             await asyncio.sleep(STOP_POLL_S)
         self.listener.close_idle()
         await self.listener.abort()
-        await self.sender.stop(handler.ends)
+        await self.sender.stop(handler.stop_deadline)
 
     @mode.Service.task
-    async def _sweep(self) -> None:
-        """Close connections to upstreams that have been idle too long."""
+    async def _close_stale(self) -> None:
+        """Close stale connections to upstreams."""
         while not self.should_stop:
-            await self.sleep(connections.SWEEP_S)
-            self.chooser.sweep(clock.now())
+            await self.sleep(connections.SWEEP_INTERVAL_S)
+            self.selector.close_stale(clock.now())
--- a/carawaystair/reservations/keeper.py
+++ b/carawaystair/reservations/placement_server.py
@@ -1,4 +1,4 @@
-"""The control side: keeps the agreed placements and hands them out."""
+"""Serves the agreed placements and proposals on a control host."""
 
 import typing
 
@@ -7,28 +7,28 @@
 
 from carawaystair import codes
 from carawaystair import interfaces
-from carawaystair.reservations import ledger as ledgers
 from carawaystair.reservations import messages
+from carawaystair.reservations import placement_state as placement_states
 
 
 class Group(typing.Protocol):
-    """What a keeper needs of the control group."""
+    """The control group as the placement server uses it."""
 
-    ledger: ledgers.Ledger
+    placement_state: placement_states.PlacementState
 
     async def propose(
         self, entry: bytes
     ) -> expression.Result[bytes, codes.Failure]:
-        """Have an entry applied on every control host."""
+        """Apply an entry on every control host."""
 
 
-class Keeper(mode.Service):
-    """Answers nodes on one control host.
+class PlacementServer(mode.Service):
+    """Answers requests of nodes on one control host.
 
-    A control host that was cut off hands out old placements; nothing relies
-    on their being new.
+    A partitioned control host may return outdated placements; nodes don't
+    rely on their being current.
 
-    :param transport: messages to other processes.
+    :param transport: receives messages of other processes.
     :param group: the control group.
     """
 
@@ -43,18 +43,20 @@
     async def _on_ask(
         self, _sender: str, ask: messages.AskRows
     ) -> messages.Rows:
-        return messages.answer(self.group.ledger.book, ask)
+        return messages.newer_rows(
+            self.group.placement_state.placement_table, ask
+        )
 
     async def _on_propose(
         self, _sender: str, message: messages.Propose
     ) -> messages.Proposed:
-        entry = ledgers.PREFIX.encode() + message.data
+        entry = placement_states.PREFIX.encode() + message.change
         result = await self.group.propose(entry)
         if result.is_error():
             return messages.Proposed(messages.UNDECIDED)
         return messages.Proposed(int(result.ok))
 
 
-def make(kernel, group: Group) -> Keeper:
-    """Return the keeper of a control host."""
-    return Keeper(kernel.links, group)
+def make(kernel, group: Group) -> PlacementServer:
+    """Return the placement server of a control host."""
+    return PlacementServer(kernel.links, group)
--- a/carawaystair/reservations/store.py
+++ b/carawaystair/reservations/store.py
@@ -1,8 +1,8 @@
-"""The keys that a replica holds in memory, bounded and for a window.
+"""In-memory records of keys, with a memory budget and expiry.
 
-A record is one packed byte string and expires through a wheel of buckets, so
-that a key costs few bytes: at the size to design for a node holds tens of
-thousands of them.
+A record is one packed byte string and expires by means of a timing wheel, so
+that a key takes few bytes: in a fleet of the intended size a node holds tens
+of thousands of keys.
 """
 
 import collections
@@ -10,42 +10,41 @@
 import typing
 
 # States of a record.
-HELD = 1  # voted for a token whose end is not known
-SETTLED = 2  # the request ran; the answer is kept
-LARGE = 3  # the request ran; status and digest of the answer are kept
-BLOCKED = 4  # two tokens were found when keys were fetched: no vote for any
-
-# Bytes that a record costs beside its answer, measured by
-# ``bench/exp_reservations.py``: the name, the packed head, their places in
-# the table and the wheel.
+HELD = 1  # voted for a token; the outcome of its request is not known
+SETTLED = 2  # the request ran; the answer is stored
+DIGEST_ONLY = 3  # the request ran; status and digest of the answer are stored
+BLOCKED = 4  # two tokens were found when keys were fetched: no votes
+
+# Memory of a record without its answer: the key digest, the packed header and
+# their entries in the dictionary and the wheel.
 RECORD_BYTES = 256
-# A customer may hold this share of the memory, so that one customer's keys
-# can't keep the others from reserving.
+# Maximum share of the memory per customer, so that the keys of one customer
+# cannot prevent others from reserving.
 CUSTOMER_SHARE = 0.75
 BUCKET_S = 16.0
-# The wheel may hold so many names more than the table before it is made
-# anew: a key that is reserved and released over and over leaves one each
+# Number of entries beyond twice the number of records at which the wheel is
+# rebuilt: a key that is repeatedly reserved and released leaves an entry each
 # time.
-SLACK = 1000
+WHEEL_SLACK = 1000
 
-_HEAD = struct.Struct('>16s16sQdBH')
+_HEADER = struct.Struct('>16s16sQdBH')
 
 
 class Record(typing.NamedTuple):
-    """What a replica knows of one key.
+    """The record of one key at a replica.
 
-    :param token: holds the key; empty when :data:`BLOCKED`.
-    :param digest: of the request, 16 bytes.
-    :param customer: see ``names.customer``.
-    :param expires: monotonic time until which it must be kept.
+    :param token: token that holds the key; empty if :data:`BLOCKED`.
+    :param request_digest: digest of the request, 16 bytes.
+    :param customer_id: see ``identifiers.customer_id``.
+    :param expires: monotonic time until which the record must be kept.
     :param state: one of the states of this module.
     :param status: HTTP status of the answer.
-    :param answer: the answer, or its digest when :data:`LARGE`.
+    :param answer: the answer, or its digest if :data:`DIGEST_ONLY`.
     """
 
     token: bytes
-    digest: bytes
-    customer: int
+    request_digest: bytes
+    customer_id: int
     expires: float
     state: int = HELD
     status: int = 0
@@ -54,125 +53,131 @@
 
 def pack(record: Record) -> bytes:
     """Return a record as one byte string."""
-    return _HEAD.pack(*record[:6]) + record.answer
+    return _HEADER.pack(*record[:6]) + record.answer
 
 
 def unpack(data: bytes) -> Record:
-    """Return the record that :func:`pack` packed.
+    """Reverse :func:`pack`.
 
-    :raises struct.error: when the data is too short.
+    :raises struct.error: if the data is too short.
     """
-    return Record(*_HEAD.unpack_from(data), data[_HEAD.size :])
+    return Record(*_HEADER.unpack_from(data), data[_HEADER.size :])
 
 
-class Budget:
-    """The memory that all partitions of one node share.
+class MemoryBudget:
+    """Memory budget that all partitions of one node share.
 
-    :param capacity: bytes for records at most.
-    :param share: of it that one customer may hold.
+    :param capacity: maximum number of bytes of all records.
+    :param share: maximum share of the capacity per customer.
     """
 
     def __init__(self, capacity: int, share: float = CUSTOMER_SHARE) -> None:
         self.capacity = capacity
         self.share = share
         self.used = 0
-        self.customers: collections.Counter = collections.Counter()
+        self.used_by_customer: collections.Counter = collections.Counter()
 
-    def full(self, size: int) -> bool:
-        """Tell whether ``size`` more bytes are too many."""
+    def is_full(self, size: int) -> bool:
+        """Return whether ``size`` more bytes exceed the capacity."""
         return self.used + size > self.capacity
 
-    def over_share(self, customer: int, size: int) -> bool:
-        """Tell whether ``size`` more bytes exceed a customer's share."""
+    def exceeds_share(self, customer_id: int, size: int) -> bool:
+        """Return whether ``size`` more bytes exceed a customer's share."""
         limit = self.capacity * self.share
-        return self.customers[customer] + size > limit
+        return self.used_by_customer[customer_id] + size > limit
 
-    def take(self, customer: int, size: int) -> None:
-        """Account for ``size`` bytes, or give them back when negative."""
+    def account(self, customer_id: int, size: int) -> None:
+        """Add ``size`` bytes to the used memory, or free them if negative."""
         self.used += size
-        self.customers[customer] += size
-        if not self.customers[customer]:
-            del self.customers[customer]
+        self.used_by_customer[customer_id] += size
+        if not self.used_by_customer[customer_id]:
+            del self.used_by_customer[customer_id]
 
 
-class Store:
+class RecordStore:
     """The records of one partition.
 
-    :param budget: shared with the node's other partitions.
+    :param budget: memory budget, shared with the other partitions.
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: MemoryBudget) -> None:
         self.budget = budget
         self.records: dict[bytes, bytes] = {}
         self.wheel: dict[int, list[bytes]] = {}
-        self.turns = 0
+        self.wheel_entries = 0
 
-    def get(self, name: bytes, now: float) -> Record | None:
-        """Return the record of a key, unless its window has passed."""
-        data = self.records.get(name)
+    def get(self, key_digest: bytes, now: float) -> Record | None:
+        """Return the record of a key, or None if missing or expired."""
+        data = self.records.get(key_digest)
         if data is None:
             return None
         record = unpack(data)
         return record if record.expires > now else None
 
-    def put(self, name: bytes, record: Record) -> None:
-        """Store a record in place of what was there."""
-        old = self.records.get(name)
+    def put(self, key_digest: bytes, record: Record) -> None:
+        """Store or replace the record of a key."""
+        old_data = self.records.get(key_digest)
         expires = None
-        if old is not None:
-            before = unpack(old)
-            expires = before.expires
-            self._account(before, -1)
-        self.records[name] = pack(record)
+        if old_data is not None:
+            old_record = unpack(old_data)
+            expires = old_record.expires
+            self._account(old_record, -1)
+        self.records[key_digest] = pack(record)
         self._account(record, 1)
         if expires != record.expires:
-            self._turn(name, record.expires)
+            self._schedule_expiry(key_digest, record.expires)
 
-    def drop(self, name: bytes) -> None:
-        """Forget a key; its place in the wheel is cleared in time."""
-        data = self.records.pop(name, None)
+    def drop(self, key_digest: bytes) -> None:
+        """Remove a record; its wheel entry is removed when it is due."""
+        data = self.records.pop(key_digest, None)
         if data is not None:
             self._account(unpack(data), -1)
 
     def expire(self, now: float) -> int:
-        """Forget the keys whose window has passed; return how many."""
-        due = [bucket for bucket in self.wheel if bucket * BUCKET_S <= now]
-        names = [name for bucket in due for name in self.wheel.pop(bucket)]
-        self.turns -= len(names)
-        gone = {
-            name
-            for name in names
-            if name in self.records
-            and unpack(self.records[name]).expires <= now
+        """Remove the expired records; return how many."""
+        due_buckets = [
+            bucket for bucket in self.wheel if bucket * BUCKET_S <= now
+        ]
+        key_digests = [
+            key_digest
+            for bucket in due_buckets
+            for key_digest in self.wheel.pop(bucket)
+        ]
+        self.wheel_entries -= len(key_digests)
+        expired = {
+            key_digest
+            for key_digest in key_digests
+            if key_digest in self.records
+            and unpack(self.records[key_digest]).expires <= now
         }
-        for name in gone:
-            self.drop(name)
-        return len(gone)
+        for key_digest in expired:
+            self.drop(key_digest)
+        return len(expired)
 
     def clear(self) -> None:
-        """Forget everything."""
-        for name in list(self.records):
-            self.drop(name)
+        """Remove all records."""
+        for key_digest in list(self.records):
+            self.drop(key_digest)
         self.wheel.clear()
-        self.turns = 0
+        self.wheel_entries = 0
 
-    def _turn(self, name: bytes, expires: float) -> None:
-        if self.turns > 2 * len(self.records) + SLACK:
-            self._rebuild()
-        # Rounded up: a record never goes before its time, and the buckets
-        # are looked at when their end has passed.
+    def _schedule_expiry(self, key_digest: bytes, expires: float) -> None:
+        if self.wheel_entries > 2 * len(self.records) + WHEEL_SLACK:
+            self._rebuild_wheel()
+        # Rounded up to the end of the bucket, so that no record is removed
+        # early.
         bucket = int(expires // BUCKET_S) + 1
-        self.wheel.setdefault(bucket, []).append(name)
-        self.turns += 1
+        self.wheel.setdefault(bucket, []).append(key_digest)
+        self.wheel_entries += 1
 
-    def _rebuild(self) -> None:
+    def _rebuild_wheel(self) -> None:
         self.wheel.clear()
-        self.turns = 0
-        for name, data in self.records.items():
+        self.wheel_entries = 0
+        for key_digest, data in self.records.items():
             bucket = int(unpack(data).expires // BUCKET_S) + 1
-            self.wheel.setdefault(bucket, []).append(name)
-            self.turns += 1
+            self.wheel.setdefault(bucket, []).append(key_digest)
+            self.wheel_entries += 1
 
     def _account(self, record: Record, sign: int) -> None:
         size = RECORD_BYTES + len(record.answer)
-        self.budget.take(record.customer, sign * size)
+        self.budget.account(record.customer_id, sign * size)
--- a/test/stubs.py
+++ b/test/stubs.py
@@ -10,7 +10,7 @@
 
 from carawaystair import codes
 from carawaystair import interfaces
-from carawaystair.load import crashing
+from carawaystair.load import crash_suspects
 
 
 class Health:
@@ -32,9 +32,9 @@
 class Quarantine:
     """Quarantine that refuses nothing."""
 
-    def standing(self, digest: str) -> crashing.Standing:
+    def standing(self, digest: str) -> crash_suspects.Standing:
         """Return that nothing is known of a request."""
-        return crashing.UNKNOWN
+        return crash_suspects.UNKNOWN
 
     def refuses(self, digest: str) -> bool:
         """Refuse nothing."""
@@ -44,14 +44,14 @@
         """Allow every request."""
         return True
 
-    def may_repeat(self, digest: str) -> bool:
+    def may_retry(self, digest: str) -> bool:
         """Allow every repeat."""
         return True
 
-    def ended_well(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Do nothing."""
 
-    def crashed(self, life, requests, proven, how) -> None:
+    def record_crash(self, incarnation, requests, proven, how) -> None:
         """Do nothing."""
 
 
--- a/test/test_gateway_crashing.py
+++ b/test/test_gateway_crashing.py
@@ -198,7 +198,7 @@
                 await asyncio.sleep(1.0)
                 loop.reset(fleet.nodes[number % 4].upstream.port)
             await harmless
-            return [node.quarantine.listing() for node in fleet.nodes]
+            return [node.quarantine.list_suspects() for node in fleet.nodes]
 
     assert pipes.run(scenario()) == [[]] * 4
 
@@ -213,7 +213,7 @@
             upstream.crash()
             await asking
             await asyncio.sleep(1.0)
-            return fleet.nodes[0].quarantine.listing()
+            return fleet.nodes[0].quarantine.list_suspects()
 
     assert pipes.run(scenario()) == []
 
@@ -233,7 +233,7 @@
             with contextlib.suppress(asyncio.IncompleteReadError):
                 await fleet.ask('/read/long')
             await asyncio.sleep(1.0)
-            return fleet.nodes[0].quarantine.listing()
+            return fleet.nodes[0].quarantine.list_suspects()
 
     (suspect,) = pipes.run(scenario())
     assert suspect.upstreams == ('u9001/1',)
@@ -251,11 +251,11 @@
             node.upstream.crash()
             await node.upstream.start()
             await asyncio.sleep(1.0)
-            before = fleet.nodes[0].quarantine.listing()
+            before = fleet.nodes[0].quarantine.list_suspects()
             node.announce()
             await asking
             await asyncio.sleep(1.0)
-            return before, fleet.nodes[0].quarantine.listing()
+            return before, fleet.nodes[0].quarantine.list_suspects()
 
     before, after = pipes.run(scenario())
     assert before == []
@@ -273,7 +273,7 @@
             took_s = clock.now() - began
             node = fleet.nodes[0]
             (event,) = node.events_of(answer.headers['caraway-request-id'])
-            return answer, took_s, event, node.quarantine.listing()
+            return answer, took_s, event, node.quarantine.list_suspects()
 
     answer, took_s, event, (suspect,) = pipes.run(scenario())
     assert (answer.status, answer.outcome) == (503, codes.NOT_RUN)
--- a/test/test_gateway_lifetimes.py
+++ b/test/test_gateway_lifetimes.py
@@ -8,7 +8,7 @@
 from carawaystair import clock
 from carawaystair.gateway import upstream_pool
 from carawaystair import interfaces
-from carawaystair.load import placing
+from carawaystair.load import upstream_selection
 from carawaystair import routing as routings
 from carawaystair import rows
 from test import fakes
@@ -236,18 +236,18 @@
             executor = fleet.nodes[1].service.executor
             name = fleet.nodes[1].upstream.name
             before = executor.report(name)
-            budget = executor.retry_budgets.of('portal')
+            budget = executor.retry_budgets.for_service('portal')
             fleet.nodes[1].announce(incarnation=9, slots=2)
             after = executor.report(name)
             selector = fleet.nodes[0].service.pool.selector
-            state = selector.views.get(name)
+            state = selector.states.get(name)
             ejected = fleet.nodes[0].service.ejected('portal')
-            kept = executor.retry_budgets.of('portal') is budget
+            kept = executor.retry_budgets.for_service('portal') is budget
             return before, after, state and state.report, ejected, kept
 
     before, after, seen, ejected, kept = pipes.run(scenario())
-    assert before.suspect
-    assert not after.suspect
+    assert before.likely_failing
+    assert not after.likely_failing
     assert (after.running, after.waiting) == (0, 0)
     assert after.idle_ms == 60_000
     assert (seen, ejected, kept) == (None, frozenset(), True)
@@ -273,7 +273,7 @@
 
 # At the callers' nodes
 
-REPORT = placing.Report('p', True, 3, 2, 5, 900, 400, 10)
+REPORT = upstream_selection.LoadReport('p', True, 3, 2, 5, 900, 400, 10)
 
 
 def test_report_of_an_ended_instance_does_not_count_for_the_next():
@@ -282,29 +282,29 @@
     A gateway reports on the previous instance, and the announcement of the
     new one arrives before the report.
     """
-    selector = placing.Board(random.Random(1))
-    selector.heard('a', REPORT._replace(incarnation=5), 1.0)
-    selector.renew('a', 9)
-    assert selector.view('a').report is None
-    selector.heard('a', REPORT._replace(incarnation=5), 2.0)
-    assert selector.view('a').report is None
-    fresh = REPORT._replace(suspect=False, incarnation=9)
-    selector.heard('a', fresh, 3.0)
-    selector.heard('a', REPORT._replace(incarnation=5), 4.0)
-    assert selector.view('a').report == fresh
+    selector = upstream_selection.UpstreamSelector(random.Random(1))
+    selector.record_report('a', REPORT._replace(incarnation=5), 1.0)
+    selector.start_incarnation('a', 9)
+    assert selector.state('a').report is None
+    selector.record_report('a', REPORT._replace(incarnation=5), 2.0)
+    assert selector.state('a').report is None
+    fresh = REPORT._replace(likely_failing=False, incarnation=9)
+    selector.record_report('a', fresh, 3.0)
+    selector.record_report('a', REPORT._replace(incarnation=5), 4.0)
+    assert selector.state('a').report == fresh
 
 
 def test_report_of_a_new_instance_replaces_what_was_known():
     """The gateway may know the new instance before the directory does."""
-    selector = placing.Board(random.Random(1))
-    selector.heard('a', REPORT._replace(incarnation=5), 1.0)
-    former = selector.view('a')
-    former.mine = 3
-    fresh = REPORT._replace(suspect=False, incarnation=9)
-    selector.heard('a', fresh, 2.0)
-    selector.renew('a', 9)
-    assert selector.view('a').report == fresh
-    assert selector.view('a').mine == 0
+    selector = upstream_selection.UpstreamSelector(random.Random(1))
+    selector.record_report('a', REPORT._replace(incarnation=5), 1.0)
+    former = selector.state('a')
+    former.in_flight = 3
+    fresh = REPORT._replace(likely_failing=False, incarnation=9)
+    selector.record_report('a', fresh, 2.0)
+    selector.start_incarnation('a', 9)
+    assert selector.state('a').report == fresh
+    assert selector.state('a').in_flight == 0
 
 
 def upstream(**changes):
@@ -336,10 +336,10 @@
         pool = make_pool(directory)
         target = pool.target(first)
         await asyncio.sleep(10.0)
-        assert not pool._candidate(first, clock.now()).cold
+        assert not pool._candidate(first, clock.now()).warming_up
         second = upstream(incarnation=9, warmup_s=3.0)
         directory.put(second)
-        assert pool._candidate(second, clock.now()).cold
+        assert pool._candidate(second, clock.now()).warming_up
         return target
 
     fakes.run(_run())
@@ -368,8 +368,8 @@
         assert other.upstream == second
         # A report on the previous instance arrives late.
         late = REPORT._replace(incarnation=5)
-        pool.selector.heard('a', late, clock.now())
-        assert pool.selector.view('a').report is None
+        pool.selector.record_report('a', late, clock.now())
+        assert pool.selector.state('a').report is None
 
     fakes.run(_run())
 
--- a/test/test_gateway_load.py
+++ b/test/test_gateway_load.py
@@ -4,8 +4,8 @@
 import random
 
 from carawaystair.gateway import call_tracker
-from carawaystair.load import nesting
-from carawaystair.load import retrying
+from carawaystair.load import nested_call_budget
+from carawaystair.load import retry_budget
 from test import gateway_setup as fleets
 from test import pipes
 from test import request_setup as setups
@@ -216,8 +216,10 @@
 
 
 def test_nested_calls_have_the_priority_of_the_waiting_request():
-    budgets = retrying.Budgets(0.2, 0.0, 10.0, 'h')
-    nested = call_tracker.NestedCallTracker(nesting.Payer(budgets))
+    budgets = retry_budget.Budgets(0.2, 0.0, 10.0, 'h')
+    nested = call_tracker.NestedCallTracker(
+        nested_call_budget.NestedCallBudget(budgets)
+    )
     nested.run_started('a', 's', 2, False)
     assert nested.running_parent('a.1') == 'a'
     assert nested.rank('a.1', 1) == 2
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_repeats.py
@@ -172,10 +172,10 @@
 def repeat_counts(fleet):
     """Return the repeats that gateways counted and that upstreams received."""
     budgets = [
-        n.service.executor.retry_budgets.of('portal') for n in fleet.nodes
+        n.service.executor.retry_budgets.for_service('portal') for n in fleet.nodes
     ]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
-    counted = sum(budget.total_repeats for budget in budgets)
+    counted = sum(budget.total_retries for budget in budgets)
     return counted, len(ids) - len(set(ids))
 
 
@@ -194,10 +194,10 @@
         async with fleets.running(*scripts, **options) as fleet:
             for node in fleet.nodes:
                 budget = node.service.executor.nested_calls.budget
-                budget.refused('other', clock.now())
-                budget.counts.ran('portal')
+                budget.record_refusal('other', clock.now())
+                budget.counts.record_run('portal')
                 for _call in range(LARGE_SLACK):
-                    budget.counts.called('portal', 'other')
+                    budget.counts.record_call('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
             return refusal_reasons(fleet), repeat_counts(fleet)
--- a/test/test_gateway_spread.py
+++ b/test/test_gateway_spread.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from carawaystair.load import placing
-from carawaystair.load import valuing
+from carawaystair.load import request_value
+from carawaystair.load import upstream_selection
 from test import gateway_setup as fleets
 from test import pipes
 from test import request_setup as setups
@@ -132,11 +132,13 @@
     After a start or a restart of many nodes none knows anything of the
     upstreams.  If ties were broken by name, the whole load would meet a few.
     """
-    candidates = [placing.Candidate('u%d' % n, False, 5) for n in range(10)]
+    candidates = [
+        upstream_selection.Candidate('u%d' % n, False, 5) for n in range(10)
+    ]
     for final, trial in ((True, False), (False, True)):
-        need = valuing.Need(2.0, 6.0, final)
+        need = request_value.Need(2.0, 6.0, final)
         chosen = collections.Counter(
-            placing.Board(random.Random(node))
+            upstream_selection.UpstreamSelector(random.Random(node))
             .choose(candidates, (), (), 0.0, need, trial=trial)
             .candidate.id
             for node in range(200)
