--- a/carawaystair/gateway/call_tracker.py
+++ b/carawaystair/gateway/call_tracker.py
@@ -9,7 +9,7 @@
 import collections
 
 from carawaystair import clock
-from carawaystair.load import nesting
+from carawaystair.load import nested_call_budget
 
 # A failure of a request within this time of a failed nested call is put down
 # to that call: the upstream has nothing left to do, seconds.
@@ -20,10 +20,10 @@
 class NestedCallTracker:
     """Tracks the running requests of this host and their nested calls.
 
-    :param budget: retry budget for the nested calls of repeated runs.
+    :param budget: retry budget for the nested calls of retries.
     """
 
-    def __init__(self, budget: nesting.Payer) -> None:
+    def __init__(self, budget: nested_call_budget.NestedCallBudget) -> None:
         self.budget = budget
         # Number of runs of each request at the upstreams of this host, with
         # its priority and its service.
@@ -31,26 +31,26 @@
         self.ranks: dict[str, int] = {}
         self.services: dict[str, str] = {}
         # Running requests that were sent to another upstream before.
-        self.repeated: set[str] = set()
+        self.retried: set[str] = set()
         # When a nested call of a request last failed.
         self.failed_at: dict[str, float] = {}
 
     def run_started(
-        self, request: str, service: str, rank: int, repeat: bool
+        self, request: str, service: str, rank: int, retry: bool
     ) -> None:
         """Record the start of a run on this host.
 
         :param service: the service that runs the request.
         :param rank: its priority, 0 first.
-        :param repeat: whether the request was sent to an upstream before, so
-            that its nested calls are repeats as well.
+        :param retry: whether the request was sent to an upstream before, so
+            that its nested calls are retries as well.
         """
         self.running[request] += 1
         self.ranks[request] = rank
         self.services[request] = service
-        self.budget.counts.ran(service)
-        if repeat:
-            self.repeated.add(request)
+        self.budget.counts.record_run(service)
+        if retry:
+            self.retried.add(request)
 
     def run_ended(self, request: str) -> None:
         """Record the end of a run."""
@@ -59,8 +59,8 @@
             del self.running[request]
             del self.ranks[request]
             del self.services[request]
-            self.budget.ended(request)
-            self.repeated.discard(request)
+            self.budget.refund_unused(request)
+            self.retried.discard(request)
 
     def running_parent(self, request: str) -> str:
         """Return the running request that makes a call, or ''."""
@@ -73,8 +73,8 @@
         :param parent: the running request that makes it.
         :param service: the service that is called.
         """
-        self.budget.counts.called(self.services[parent], service)
-        return self.budget.use(parent, service)
+        self.budget.counts.record_call(self.services[parent], service)
+        return self.budget.use_prepaid(parent, service)
 
     def rank(self, call: str, own: int) -> int:
         """Return a request's priority, or its parent's if less urgent.
--- a/carawaystair/gateway/caller_handler.py
+++ b/carawaystair/gateway/caller_handler.py
@@ -264,7 +264,7 @@
             now + goal_s,
             self.nested_calls.rank(call.id, route.priority),
             bool(parent),
-            parent in self.nested_calls.repeated,
+            parent in self.nested_calls.retried,
             bool(parent) and self.nested_calls.count_call(parent, name),
             self.service,
             route.max_attempts or dispatchers.DEFAULT_MAX_RUNS,
@@ -360,7 +360,7 @@
             self.nested_calls.call_failed(dispatch.call.id)
         if (
             not status
-            and dispatch.params.caller_repeated
+            and dispatch.params.caller_retried
             and dispatch.over_budget
         ):
             self.nested_calls.budget.record_refusal(service, clock.now())
--- a/carawaystair/gateway/dispatcher.py
+++ b/carawaystair/gateway/dispatcher.py
@@ -100,10 +100,10 @@
         """
         if not self.quarantine.may_begin(dispatch.call.digest):
             raise self._crash_refusal(dispatch)
-        if not dispatch.params.caller_repeated:
-            self.retry_budgets.for_service(dispatch.params.service).record_first_send(
-                clock.now()
-            )
+        if not dispatch.params.caller_retried:
+            self.retry_budgets.for_service(
+                dispatch.params.service
+            ).record_first_send(clock.now())
         while self._may_send(dispatch) and dispatch.offers < MAX_OFFERS:
             choice = await self._next_choice(dispatch)
             if choice is None:
@@ -230,7 +230,9 @@
             dispatch.call.deadline,
         )
 
-    def _crash_refusal(self, dispatch: dispatches.Dispatch) -> validation.Refused:
+    def _crash_refusal(
+        self, dispatch: dispatches.Dispatch
+    ) -> validation.Refused:
         """Return the refusal of a request that crashes upstreams."""
         return validation.crash_refusal(
             self.quarantine.standing(dispatch.call.digest)
@@ -328,10 +330,10 @@
         state.in_flight += 1
         began = clock.now()
         budget = self.retry_budgets.for_service(dispatch.params.service)
-        # A nested call of a repeat is itself a repeat, unless it was charged
+        # A nested call of a retry is itself a retry, unless it was charged
         # to the budget before that run began.
         needs_budget = dispatch.sent > 0 or (
-            dispatch.params.caller_repeated and not dispatch.params.budgeted
+            dispatch.params.caller_retried and not dispatch.params.budgeted
         )
         charged = needs_budget and budget.take_retry(began, 1)
         budgeted = charged or (dispatch.params.budgeted and dispatch.sent == 0)
@@ -364,7 +366,8 @@
         finally:
             state.in_flight -= 1
         bad = answer.status >= 500
-        self.selector.answer_sizes.record(dispatch.call.match.key, answers.body_size(answer)
+        self.selector.answer_sizes.record(
+            dispatch.call.match.key, answers.body_size(answer)
         )
         self.pool.record_outcome(dispatch.params.service, not bad)
         self.recorder.tell(
--- a/carawaystair/gateway/dispatches.py
+++ b/carawaystair/gateway/dispatches.py
@@ -41,7 +41,7 @@
     :param goal: monotonic time of its latency goal.
     :param priority: its priority, 0 first.
     :param nested: whether another running request waits for it.
-    :param caller_repeated: whether that one was sent to an upstream before.
+    :param caller_retried: whether that one was sent to an upstream before.
     :param budgeted: whether it was charged to the retry budget already.
     :param caller_service: the service on this host.
     :param max_runs: number of upstreams that may run it.
@@ -52,7 +52,7 @@
     goal: float
     priority: int
     nested: bool
-    caller_repeated: bool
+    caller_retried: bool
     budgeted: bool
     caller_service: str
     max_runs: int
@@ -231,7 +231,7 @@
             params.nested,
             min_value is None,
             len(self.reached - {target.upstream.id}) > 0,
-            params.caller_repeated,
+            params.caller_retried,
             self.sends,
             process,
             token=self.token,
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -325,8 +325,8 @@
         if hop.may_wait:
             return False
         offer = upstream_gate.Offer(
-            hop.final_attempt or hop.repeat or not hop.idempotent,
-            hop.repeat,
+            hop.final_attempt or hop.retry or not hop.idempotent,
+            hop.retry,
             hop.retry_value / THOUSAND,
             hop.min_value / THOUSAND,
             hop.service_healthy,
@@ -338,7 +338,7 @@
         return answer.trial
 
     def _charge_retry(self, hop: hops.Hop, now: float) -> None:
-        """Charge a repeat that its sender did not budget to the slack.
+        """Charge a retry that its sender did not budget to the slack.
 
         :raises slots.Refused: when the slack of the service is used up.
         """
@@ -349,9 +349,9 @@
             raise slots_module.Refused(hops.SPENT, 'slack')
 
     def _refund_retry(self, hop: hops.Hop, taken_at: float) -> None:
-        """Refund :meth:`_charge_retry` for a repeat that did not run.
+        """Refund :meth:`_charge_retry` for a retry that did not run.
 
-        Otherwise, while all upstreams are busy, repeats that are refused
+        Otherwise, while all upstreams are busy, retries that are refused
         would use up the budget, and those that find a slot would be refused.
         """
         if _uses_slack(hop):
@@ -375,19 +375,19 @@
     def _charge_nested_calls(
         self, hop: hops.Hop, slots: slots_module.Slots
     ) -> None:
-        """Charge the nested calls of a repeat to the budget.
+        """Charge the nested calls of a retry to the budget.
 
         :raises slots.Refused: when the budget is used up; its slot is
             released.
         """
         budget = self.nested_calls.budget
-        if hop.repeat and not budget.prepay(hop.id, hop.service, clock.now()):
+        if hop.retry and not budget.prepay(hop.id, hop.service, clock.now()):
             slots.release(hop.key)
             raise slots_module.Refused(hops.SPENT, 'calls')
 
     def _count_first(self, hop: hops.Hop) -> None:
-        """Count a first run, in proportion to which repeats are allowed."""
-        if not hop.repeat and not hop.caller_repeated:
+        """Count a first run, in proportion to which retries are allowed."""
+        if not hop.retry and not hop.caller_retried:
             self.retry_budgets.for_service(hop.service).record_first_send(
                 clock.now()
             )
@@ -436,7 +436,7 @@
             hop.id,
             hop.service,
             hop.priority,
-            hop.repeat or hop.caller_repeated,
+            hop.retry or hop.caller_retried,
         )
         status, detail = 0, ''
         outcome = interfaces.CANCELLED
@@ -456,7 +456,9 @@
                     hops.UNREACHABLE, failed.detail
                 ) from None
             if outcome == interfaces.BROKEN:
-                self.crashes.connection_broke(instance.target, hop.digest, hop.id)
+                self.crashes.connection_broke(
+                    instance.target, hop.digest, hop.id
+                )
             raise
         finally:
             observer.stop()
@@ -573,8 +575,8 @@
 
 
 def _uses_slack(hop: hops.Hop) -> bool:
-    """Return whether a request is a repeat that its sender did not budget."""
-    return (hop.repeat or hop.caller_repeated) and not hop.budgeted
+    """Return whether a request is a retry that its sender did not budget."""
+    return (hop.retry or hop.caller_retried) and not hop.budgeted
 
 
 def _is_current(
--- a/carawaystair/gateway/hops.py
+++ b/carawaystair/gateway/hops.py
@@ -74,10 +74,10 @@
     :param idempotent: whether it may run twice.
     :param nested: whether another running request waits for it.
     :param may_wait: whether it may wait here for a slot, whatever its value.
-    :param repeat: whether it may have run elsewhere, or was sent to an
+    :param retry: whether it may have run elsewhere, or was sent to an
         upstream that refused it.
-    :param caller_repeated: whether it is a nested call of a run that was
-        itself a repeat.
+    :param caller_retried: whether it is a nested call of a run that was
+        itself a retry.
     :param send_number: number of this send of the request; grows with each.
     :param process: the gateway's process, as the sender knows it; empty if
         unknown.
@@ -117,8 +117,8 @@
     idempotent: bool
     nested: bool
     may_wait: bool
-    repeat: bool
-    caller_repeated: bool
+    retry: bool
+    caller_retried: bool
     send_number: int
     process: str
     resumed: bool = False
--- a/carawaystair/gateway/pacer.py
+++ b/carawaystair/gateway/pacer.py
@@ -116,7 +116,9 @@
             return UNTHROTTLED
         return LinkThrottle(self)
 
-    async def wait_turn(self, position: pacing.QueuePosition, size: int) -> int:
+    async def wait_turn(
+        self, position: pacing.QueuePosition, size: int
+    ) -> int:
         """Wait for a turn; return how many bytes may be sent.
 
         :param position: position of the body among those that share the link.
--- a/carawaystair/gateway/resuming.py
+++ b/carawaystair/gateway/resuming.py
@@ -91,7 +91,7 @@
     :param sender: sends the attempts.
     :param dispatch: the request.
     :param lost: the upstream and process that may run it.
-    :param timeout_s: how long attempts are repeated while none is open.
+    :param timeout_s: how long to send further attempts while none is open.
     :param recorder: records events.
     """
 
--- a/carawaystair/gateway/run_observer.py
+++ b/carawaystair/gateway/run_observer.py
@@ -60,7 +60,9 @@
         self._update_estimate(failure_estimate.OVERDUE)
         self.slots.gate.trials.record_failure(clock.now())
 
-    def _update_estimate(self, observation: failure_estimate.Observation) -> None:
+    def _update_estimate(
+        self, observation: failure_estimate.Observation
+    ) -> None:
         before = self.slots.failure_chance()
         self.slots.gate.estimate.observe(observation, clock.now())
         after = self.slots.failure_chance()
@@ -82,7 +84,9 @@
         """Record a good answer."""
         now = clock.now()
         took_s = now - self.started_at
-        self.slots.queue.record_service_time(self.route, self.started_at, took_s)
+        self.slots.queue.record_service_time(
+            self.route, self.started_at, took_s
+        )
         self._on_survived()
         if not self.overdue:
             self._update_estimate(failure_estimate.SUCCEEDED)
--- a/carawaystair/gateway/send_attempts.py
+++ b/carawaystair/gateway/send_attempts.py
@@ -197,7 +197,9 @@
 
         :raises answers.Failed: when none can be made.
         """
-        self.connect_timeout_s = max(self.connect_timeout_s, self.first_sign_timeout_s)
+        self.connect_timeout_s = max(
+            self.connect_timeout_s, self.first_sign_timeout_s
+        )
         await super().connect()
         transport = self.connection.proto.transport
         if transport is not None and not self.connection.uses:
--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -75,7 +75,9 @@
             node.retry_window_s,
             'share of %s' % settings.host,
         )
-        nested = call_tracker.NestedCallTracker(nested_call_budget.NestedCallBudget(retry_budgets))
+        nested = call_tracker.NestedCallTracker(
+            nested_call_budget.NestedCallBudget(retry_budgets)
+        )
         self.pacer = pacers.Pacer(settings.host, node.link_mbps)
         self.pool = upstream_pool.UpstreamPool(
             settings.data_centre,
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -14,7 +14,7 @@
     """A request was refused and has no slot.
 
     :param reason: the reason, see ``hops``, ``load.rejection`` and
-        ``load.gate``.
+        ``load.upstream_gate``.
     :param detail: circumstances, for the log.
     """
 
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -251,7 +251,7 @@
 
 
 def test_not_run_status_without_the_not_run_header_is_not_forwarded():
-    """Guards against callers that repeat a request that was run.
+    """Guards against callers that retry a request that was run.
 
     An upstream answers 503 after it ran a request, but 503 tells callers that
     it was not run.
--- a/test/test_gateway_links.py
+++ b/test/test_gateway_links.py
@@ -74,8 +74,8 @@
         idempotent=True,
         nested=False,
         may_wait=True,
-        repeat=False,
-        caller_repeated=False,
+        retry=False,
+        caller_retried=False,
         send_number=1,
         process='',
     )
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_retries.py
@@ -74,8 +74,8 @@
     return arrivals
 
 
-def test_nested_calls_of_repeated_runs_stay_within_the_budget():
-    """Guards against repeats of one service that overload the one it calls."""
+def test_nested_calls_of_retries_stay_within_the_budget():
+    """Guards against retries of one service that overload the one it calls."""
     arrivals = arrivals_while_all_callers_fail()
     seen = set()
     beyond = []
@@ -169,10 +169,11 @@
         assert extra <= RATIO * len(names) + LARGE_SLACK
 
 
-def repeat_counts(fleet):
-    """Return the repeats that gateways counted and that upstreams received."""
+def retry_counts(fleet):
+    """Return the retries that gateways counted and that upstreams received."""
     budgets = [
-        n.service.executor.retry_budgets.for_service('portal') for n in fleet.nodes
+        n.service.executor.retry_budgets.for_service('portal')
+        for n in fleet.nodes
     ]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
     counted = sum(budget.total_retries for budget in budgets)
@@ -185,8 +186,8 @@
     return {one['reason'] for one in lines if one['event'] == 'declining'}
 
 
-def test_repeat_without_budget_for_its_nested_calls_leaves_the_slack():
-    """Guards against repeats that did not start but used up the slack."""
+def test_retry_without_budget_for_its_nested_calls_leaves_the_slack():
+    """Guards against retries that did not start but used up the slack."""
 
     async def scenario():
         scripts = (fleets.fail, fleets.serve, fleets.serve)
@@ -200,14 +201,14 @@
                     budget.counts.record_call('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
-            return refusal_reasons(fleet), repeat_counts(fleet)
+            return refusal_reasons(fleet), retry_counts(fleet)
 
     reasons, counted = pipes.run(scenario())
     assert 'spent' in reasons
     assert counted == (0, 0)
 
 
-def test_repeat_that_finds_no_slot_leaves_the_slack():
+def test_retry_that_finds_no_slot_leaves_the_slack():
     """Guards against a slack that is used up by offers to busy gateways."""
 
     async def scenario():
@@ -223,7 +224,7 @@
                 requests.append(asyncio.ensure_future(fleet.ask('/read/a')))
                 await asyncio.sleep(0.2)
             await asyncio.gather(*requests)
-            return refusal_reasons(fleet), repeat_counts(fleet)
+            return refusal_reasons(fleet), retry_counts(fleet)
 
     reasons, (counted, received) = pipes.run(scenario())
     assert 'busy' in reasons
