--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -1,4 +1,4 @@
-"""The slots of one upstream, and the tasks that wait for them."""
+"""Slots of one upstream and the requests that wait for them."""
 
 import asyncio
 import typing
@@ -11,10 +11,11 @@
 
 
 class Refused(Exception):
-    """A request gets no slot.
+    """A request was refused and has no slot.
 
-    :param reason: why, see ``hops`` and ``load.rejection``.
-    :param detail: the circumstances, for a person.
+    :param reason: the reason, see ``hops``, ``load.rejection`` and
+        ``load.upstream_gate``.
+    :param detail: circumstances, for the log.
     """
 
     def __init__(self, reason: str, detail: str = '') -> None:
@@ -24,90 +25,94 @@
 
 
 class Slots:
-    """Hands out the slots of one upstream.
+    """Assigns the slots of one upstream to requests.
 
-    :param process: returns the name of this process, for reports.
-    :param count: the slots.
+    :param process_id: returns the id of this process, for reports.
+    :param count: number of slots.
     """
 
-    def __init__(self, process: typing.Callable[[], str], count: int) -> None:
-        self.process = process
+    def __init__(
+        self, process_id: typing.Callable[[], str], count: int
+    ) -> None:
+        self.process_id = process_id
         self.gate = upstream_gate.Gate(count)
         self.queue = self.gate.queue
         self.waiters: dict[str, asyncio.Future] = {}
 
-    async def take(
-        self, want: slot_queue.SlotRequest, may_wait: bool
+    async def acquire(
+        self, slot_request: slot_queue.SlotRequest, may_wait: bool
     ) -> float:
-        """Wait for a slot; return the seconds that it took.
+        """Wait for a slot; return the time that it took, seconds.
 
-        :raises Refused: when there is none in time.
+        :raises Refused: when no slot will be free in time.
         """
         began = clock.now()
-        verdict = self.queue.request_slot(want, began, may_wait)
+        verdict = self.queue.request_slot(slot_request, began, may_wait)
         if verdict.reason:
             raise Refused(verdict.reason, 'wait %.2f s' % verdict.wait_s)
         if verdict.starts:
             return 0.0
         loop = asyncio.get_running_loop()
-        future = self.waiters[want.id] = loop.create_future()
+        future = self.waiters[slot_request.id] = loop.create_future()
         timer = loop.call_at(
-            self.queue.latest_start(want, began), self._give_up, want.id
+            self.queue.latest_start(slot_request, began),
+            self._expire,
+            slot_request.id,
         )
         try:
             if not await future:
-                raise Refused(rejection.HOPELESS, 'its time is over')
+                raise Refused(rejection.HOPELESS, 'no slot in time')
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
-                # It was given a slot in the moment in which it left.
-                self.free(want.id)
+                # The slot was assigned at the moment of cancellation.
+                self.release(slot_request.id)
             raise
         finally:
             timer.cancel()
-            self.queue.remove(want.id)
-            self.waiters.pop(want.id, None)
+            self.queue.remove(slot_request.id)
+            self.waiters.pop(slot_request.id, None)
         return clock.now() - began
 
-    def free(self, request: str) -> None:
-        """Give the slot of a request back."""
+    def release(self, request: str) -> None:
+        """Release the slot of a request."""
         self.queue.finish(request)
-        self.serve()
+        self.start_waiting()
 
-    def serve(self) -> None:
-        """Let those start who have a slot now."""
+    def start_waiting(self) -> None:
+        """Start waiting requests while slots are free."""
         while started := self.queue.start_waiting(clock.now()):
             for name in started:
                 future = self.waiters.get(name)
                 if future is None or future.done():
-                    # It left just now.
+                    # It was cancelled at this moment.
                     self.queue.finish(name)
                 else:
                     future.set_result(True)
 
     def evict_waiting(self) -> None:
-        """Let all that wait go elsewhere: the upstream has turned gray."""
-        self.refuse_all(upstream_gate.RISKY)
+        """Refuse all waiting requests, as the upstream is likely to fail."""
+        self.refuse_waiting(upstream_gate.RISKY)
 
-    def refuse_all(self, reason: str) -> None:
-        """Refuse all that wait: the upstream takes no more work."""
+    def refuse_waiting(self, reason: str) -> None:
+        """Refuse all waiting requests."""
         for name, future in list(self.waiters.items()):
             self.queue.remove(name)
             if not future.done():
                 future.set_exception(Refused(reason))
 
-    def _give_up(self, name: str) -> None:
+    def _expire(self, name: str) -> None:
         future = self.waiters.get(name)
         if future is not None and not future.done():
             self.queue.remove(name)
             future.set_result(False)
 
-    def failing(self) -> float:
-        """Return how likely the upstream fails the next request, 0 to 1."""
+    def failure_chance(self) -> float:
+        """Return the probability that the next request fails, 0 to 1."""
         return self.gate.estimate.failure_probability(clock.now())
 
     def report(self, route: str = '') -> upstream_selection.LoadReport:
-        """Return what other nodes should know.
+        """Return the state of the upstream for other nodes.
 
-        :param route: key of the route that was asked for.
+        :param route: key of the route for which service times are reported.
         """
-        return self.gate.report(self.process(), route, clock.now())
+        return self.gate.report(self.process_id(), route, clock.now())
--- a/test/test_kept_connections.py
+++ b/test/test_kept_connections.py
@@ -113,7 +113,7 @@
                 raise error('of another connection')
 
             node = fleet.nodes[0].service
-            monkeypatch.setattr(node.dispatcher.client, 'exchange', broken)
+            monkeypatch.setattr(node.dispatcher.client, 'send', broken)
             return await fleet.ask('/read/a')
 
     answer = pipes.run(scenario())
