--- a/carawaystair/outlier/baseline.py
+++ b/carawaystair/outlier/baseline.py
@@ -10,10 +10,10 @@
 import collections
 import typing
 
-from carawaystair.outlier import ledger as ledgers
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import record_store
+from carawaystair.outlier import upstream_record
 
 # Samples wait so long once their route has bounds, seconds.
 WAIT_S = 5.0
@@ -35,7 +35,9 @@
     :param routes: takes the latencies.
     """
 
-    def __init__(self, ledger: ledgers.Ledger, routes: levels.Routes) -> None:
+    def __init__(
+        self, ledger: record_store.Ledger, routes: levels.Routes
+    ) -> None:
         self.ledger = ledger
         self.routes = routes
         self.waiting: collections.deque[Waiting] = collections.deque(
@@ -72,7 +74,7 @@
         suspects = [
             track
             for track in self.ledger.tracks.values()
-            if track.state != tracks.HEALTHY
+            if track.state != upstream_record.HEALTHY
         ]
         if len(suspects) * 2 > len(known):
             return frozenset()
--- a/carawaystair/outlier/coordinator.py
+++ b/carawaystair/outlier/coordinator.py
@@ -7,20 +7,20 @@
 import random
 import typing
 
-from carawaystair.outlier import allbad
 from carawaystair.outlier import detectors
-from carawaystair.outlier import held
-from carawaystair.outlier import intake
-from carawaystair.outlier import judge
-from carawaystair.outlier import known as knowns
-from carawaystair.outlier import ledger as ledgers
+from carawaystair.outlier import evidence_pool
+from carawaystair.outlier import ingestion
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import pool as pools
-from carawaystair.outlier import reporters as reporting
+from carawaystair.outlier import node_leases
+from carawaystair.outlier import record_store
+from carawaystair.outlier import reporting_nodes
 from carawaystair.outlier import scope as scopes
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import service_outage
+from carawaystair.outlier import state_machine
 from carawaystair.outlier import tuning as tunings
+from carawaystair.outlier import upstream_index
+from carawaystair.outlier import upstream_record
 
 # Copies to an upstream under trial, as a multiple of its usual share.
 TRIAL_SHARES = 2.0
@@ -44,7 +44,7 @@
     def __init__(
         self,
         service: str,
-        known: knowns.Known,
+        known: upstream_index.Known,
         detector: detectors.Detector,
         rng: random.Random,
         now: float,
@@ -52,17 +52,17 @@
         self.service = service
         self.known = known
         self.detector = detector
-        self.pool = pools.Pool(now)
-        self.reporters = reporting.Reporters()
+        self.pool = evidence_pool.Pool(now)
+        self.reporters = reporting_nodes.Reporters()
         self.routes = levels.Routes()
-        self.ledger = ledgers.Ledger(service, known)
-        self.judge = judge.Judge(
+        self.ledger = record_store.Ledger(service, known)
+        self.judge = state_machine.Judge(
             self.ledger, self.pool, detector, self.reporters, rng
         )
-        self.intake = intake.Intake(
+        self.intake = ingestion.Intake(
             self.ledger, self.pool, detector, self.reporters, self.routes
         )
-        self.all_bad = allbad.AllBad(self.ledger, self.pool)
+        self.all_bad = service_outage.AllBad(self.ledger, self.pool)
         self.cleaned = now
         self.heard = now
         # Nothing may be granted before earlier grants are known.
@@ -91,7 +91,7 @@
             self._clean(now)
 
     def entry(
-        self, track: tracks.Track, lease_s: float, now: float
+        self, track: upstream_record.Track, lease_s: float, now: float
     ) -> messages.Entry:
         """Return what nodes are told of one upstream."""
         trial = 0.0
@@ -112,7 +112,7 @@
     def digest(self, now: float) -> int:
         """Return the digest of what nodes should hold."""
         tuning = self.tuning()
-        return held.digest(
+        return node_leases.digest(
             track.entry(tuning, 0.0, 0.0, now)
             for track in self.ledger.tracks.values()
         )
@@ -150,14 +150,14 @@
     def _adopt(self, phase: messages.Phase, now: float) -> None:
         entry, tuning = phase.entry, self.tuning()
         track = self.ledger.track(entry.upstream, now)
-        state = ADOPTED.get(entry.kind, tracks.HEALTHY)
+        state = ADOPTED.get(entry.kind, upstream_record.HEALTHY)
         track.enter(state, entry.weight / 1000, now)
         if entry.data_centre:
             track.scope = scopes.Scope(scopes.DATA_CENTRE, entry.data_centre)
         elif entry.customer_class >= 0:
             group = str(entry.customer_class)
             track.scope = scopes.Scope(scopes.CUSTOMER, group)
-        if state == tracks.RETURNING:
+        if state == upstream_record.RETURNING:
             track.since = now + entry.ttl_ms / 1000 - tuning.slow_start_s
         track.flaps, track.flaps_time = phase.flaps, now
         track.severity = entry.severity / 1000
@@ -173,7 +173,7 @@
             upstream = table.get(track.upstream)
             if upstream is None:
                 away = now - track.since >= DIRECTORY_S
-                if away and track.state != tracks.HEALTHY:
+                if away and track.state != upstream_record.HEALTHY:
                     self.judge.forget(track)
                     self.judge.clear(track, now)
             elif track.incarnation is None:
@@ -181,7 +181,7 @@
             elif track.incarnation != upstream.incarnation:
                 self._renew(track, now)
 
-    def _renew(self, track: tracks.Track, now: float) -> None:
+    def _renew(self, track: upstream_record.Track, now: float) -> None:
         """Hold nothing of its former life against an upstream."""
         self.judge.forget(track)
         self.judge.clear(track, now)
@@ -206,7 +206,7 @@
 
 
 ADOPTED = {
-    messages.HELD: tracks.SUSPECTED,
-    messages.EJECTED: tracks.EJECTED,
-    messages.RETURNING: tracks.RETURNING,
+    messages.HELD: upstream_record.SUSPECTED,
+    messages.EJECTED: upstream_record.EJECTED,
+    messages.RETURNING: upstream_record.RETURNING,
 }
--- a/carawaystair/outlier/seat.py
+++ b/carawaystair/outlier/coordinator_role.py
@@ -5,8 +5,8 @@
 from carawaystair import interfaces
 from carawaystair.outlier import coordinator as coordinators
 from carawaystair.outlier import messages
-from carawaystair.outlier import pace
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import report_pace
+from carawaystair.outlier import upstream_record
 
 # Length of an ejection's lease, seconds.  It grows with the members: to renew
 # it takes members / (lease / RENEWALS) datagrams a second.
@@ -21,7 +21,9 @@
 
 # Upstreams in these states are told to all members, not only to the nodes
 # that use the service now: others may send it their first request.
-WIDE = frozenset((tracks.EJECTED, tracks.TRIED, tracks.RETURNING))
+WIDE = frozenset(
+    (upstream_record.EJECTED, upstream_record.TRIED, upstream_record.RETURNING)
+)
 
 
 class Sender(typing.Protocol):
@@ -50,7 +52,7 @@
         self.me = me
         self.coordinator = coordinator
         self.sender = sender
-        self.pacer = pace.Pacer(coordinator.service, now)
+        self.pacer = report_pace.Pacer(coordinator.service, now)
         self.epoch = 0
         # Whether this process is the coordinator, as it sees the members.
         self.leading = False
@@ -81,7 +83,7 @@
             track.told_all = track.told_all or track.state in WIDE
             entry = self.coordinator.entry(track, lease_s, now)
             (wide if track.told_all else near).append(entry)
-            if track.state == tracks.HEALTHY:
+            if track.state == upstream_record.HEALTHY:
                 track.told_all = False
         ledger.changed.clear()
         reporters = self.coordinator.reporters.addresses()
--- a/carawaystair/outlier/view.py
+++ b/carawaystair/outlier/effective_state.py
@@ -5,11 +5,11 @@
 
 from carawaystair import invariants
 from carawaystair.outlier import floor
-from carawaystair.outlier import held
-from carawaystair.outlier import known as knowns
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
+from carawaystair.outlier import node_leases
 from carawaystair.outlier import tuning as tunings
+from carawaystair.outlier import upstream_index
 
 # Share of work of an upstream whose ejection the floor does not allow here.
 CLAMPED_WEIGHT = 0.2
@@ -95,9 +95,9 @@
 
 def make(
     service: str,
-    known: knowns.Known,
+    known: upstream_index.Known,
     data_centre: str,
-    leases: typing.Mapping[str, held.Lease],
+    leases: typing.Mapping[str, node_leases.Lease],
     own: typing.Collection[str],
     now: float,
 ) -> View:
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -8,14 +8,14 @@
 from carawaystair import interfaces
 from carawaystair.outlier import detectors
 from carawaystair.outlier import health as healths
+from carawaystair.outlier import in_flight
 from carawaystair.outlier import levels
-from carawaystair.outlier import local
+from carawaystair.outlier import local_ejections
+from carawaystair.outlier import local_path
+from carawaystair.outlier import local_weights
 from carawaystair.outlier import messages
-from carawaystair.outlier import own as owns
-from carawaystair.outlier import path as paths
-from carawaystair.outlier import reporter as reporting
+from carawaystair.outlier import report_outbox
 from carawaystair.outlier import tuning as tunings
-from carawaystair.outlier import watch as watches
 from carawaystair import timeline as timelines
 
 # Bad attempts that come together travel together, seconds.
@@ -60,9 +60,9 @@
         self.make = make
         self.timeline = timeline
         self.rng = rng
-        self.watch = watches.Watch()
-        self.reporter = reporting.Reporter(rng, 0.0)
-        self.path = paths.Path()
+        self.watch = in_flight.Watch()
+        self.reporter = report_outbox.Reporter(rng, 0.0)
+        self.path = local_path.Path()
         self.path_told = -PATH_TOLD_S
         # By service: the detector's name and whether it is pooled.
         self.pooled: dict[str, tuple[str, bool]] = {}
@@ -87,7 +87,7 @@
         """Take note that an attempt starts."""
         outbox = self.reporter.outbox(service, started)
         bounds = outbox.bounds.get(levels.short(route))
-        pending = watches.Pending(
+        pending = in_flight.Pending(
             service,
             upstream,
             levels.customer_class(customer),
@@ -109,7 +109,7 @@
             # What a life that is over did says nothing of the next one.
             return
         if outcome == interfaces.SHED:
-            factor = local.FACTORS[outcome]
+            factor = local_weights.FACTORS[outcome]
             self.health.weights.lower(attempt.upstream, factor, now)
             return
         paused = self.watch.pause(pending, now)
@@ -177,7 +177,7 @@
         self.reporter.forget(now)
         self.pooled.clear()
 
-    def _overdue(self, overdue: watches.Overdue, now: float) -> None:
+    def _overdue(self, overdue: in_flight.Overdue, now: float) -> None:
         pending = overdue.pending
         if self.health.known.former(pending.upstream, pending.started):
             return
@@ -188,9 +188,13 @@
             self.path.note(pending.upstream, True, now)
         if overdue.level >= levels.LATE:
             late = overdue.level == levels.LATE
-            factor = local.LATE_FACTOR if late else local.OVERDUE_FACTOR
+            factor = (
+                local_weights.LATE_FACTOR
+                if late
+                else local_weights.OVERDUE_FACTOR
+            )
             if not pending.fresh:
-                factor = local.UNPROVEN_FACTOR
+                factor = local_weights.UNPROVEN_FACTOR
             self.health.weights.lower(pending.upstream, factor, now)
         if category == before or not self._pooled(pending.service):
             return
@@ -203,7 +207,7 @@
     def _local(self, attempt, category, now) -> None:
         """Let this node react by itself."""
         bad = attempt.outcome != interfaces.GOOD
-        factor = local.FACTORS.get(attempt.outcome)
+        factor = local_weights.FACTORS.get(attempt.outcome)
         if factor is not None:
             self.health.weights.lower(attempt.upstream, factor, now)
         elif not bad and category is not None:
@@ -219,7 +223,9 @@
         service = attempt.service
         own = self.health.owns.get(service)
         if own is None:
-            own = self.health.owns[service] = owns.Own(self.make(service))
+            own = self.health.owns[service] = local_ejections.Own(
+                self.make(service)
+            )
         tuning = tunings.of(self.health.known.service(service))
         if own.observe(attempt.upstream, bad, tuning, now):
             self.health.refresh(service)
@@ -240,7 +246,7 @@
                 self.health.owns.pop(service, None)
         return known[1]
 
-    def _hurry(self, outbox: reporting.Outbox) -> None:
+    def _hurry(self, outbox: report_outbox.Outbox) -> None:
         outbox.urgent = True
         if self.timer is None:
             loop = asyncio.get_running_loop()
@@ -254,7 +260,7 @@
         for outbox in self.reporter.ready(now):
             self._send(outbox, now)
 
-    def _send(self, outbox: reporting.Outbox, now: float) -> None:
+    def _send(self, outbox: report_outbox.Outbox, now: float) -> None:
         batch = outbox.take(self.rng, now)
         epoch, digest = self.health.summary(outbox.service)
         samples = batch.samples
@@ -276,7 +282,7 @@
             self.tell(report)
 
 
-def _flag(pending: watches.Pending, level: int) -> int:
+def _flag(pending: in_flight.Pending, level: int) -> int:
     """Return the category of an answer that is overdue."""
     if level and not pending.fresh:
         return levels.unproven(level)
--- a/carawaystair/outlier/pool.py
+++ b/carawaystair/outlier/evidence_pool.py
@@ -11,9 +11,9 @@
 import math
 
 from carawaystair.outlier import detectors
+from carawaystair.outlier import level_counts
 from carawaystair.outlier import levels
-from carawaystair.outlier import recent as recents
-from carawaystair.outlier import shares
+from carawaystair.outlier import recent_scores
 
 # Shares before anything is known weigh as much as so many attempts; a class
 # of customers is taken as the average until it has as many of its own.
@@ -42,10 +42,10 @@
 
     def __init__(self, now: float) -> None:
         self.began = now
-        self.scale = shares.Scale(now)
-        self.total = shares.table()
+        self.scale = level_counts.Scale(now)
+        self.total = level_counts.table()
         self.tables: dict[str, array.array] = {}
-        self.recent = recents.Recent()
+        self.recent = recent_scores.Recent()
         self.excluded: set[str] = set()
 
     def add(
@@ -67,11 +67,13 @@
         unit = self._unit(now)
         table = self.tables.get(upstream)
         if table is None:
-            table = self.tables[upstream] = shares.table()
+            table = self.tables[upstream] = level_counts.table()
         score = self._score(upstream, customer_class, category, unit)
-        shares.add(table, customer_class, category, count * unit)
+        level_counts.add(table, customer_class, category, count * unit)
         if upstream not in self.excluded:
-            shares.add(self.total, customer_class, category, count * unit)
+            level_counts.add(
+                self.total, customer_class, category, count * unit
+            )
         if category == levels.UNRATED:
             return None
         usual = self.recent.usual(upstream, now)
@@ -84,7 +86,7 @@
             return
         self.excluded.add(upstream)
         if upstream in self.tables:
-            shares.merge(self.total, self.tables[upstream], -1.0)
+            level_counts.merge(self.total, self.tables[upstream], -1.0)
 
     def include(self, upstream: str) -> None:
         """Let an upstream count as a sibling again, from nothing."""
@@ -100,25 +102,33 @@
 
     def rate(self, now: float) -> float:
         """Return attempts a second of the upstreams not excluded."""
-        attempts = self.total[shares.ALL * shares.WIDTH + shares.ATTEMPTS]
+        attempts = self.total[
+            level_counts.ALL * level_counts.WIDTH + level_counts.ATTEMPTS
+        ]
         # The sum of a decaying memory that began a while ago.
         age = max(now - self.began, 1.0)
-        memory = shares.MEMORY_S * -math.expm1(-age / shares.MEMORY_S)
+        memory = level_counts.MEMORY_S * -math.expm1(
+            -age / level_counts.MEMORY_S
+        )
         return attempts / self.scale.unit(now) / memory
 
     def class_share(self, customer_class: int) -> float:
         """Return the share of attempts of a class of customers."""
-        whole = self.total[shares.ALL * shares.WIDTH + shares.ATTEMPTS]
-        part = self.total[customer_class * shares.WIDTH + shares.ATTEMPTS]
+        whole = self.total[
+            level_counts.ALL * level_counts.WIDTH + level_counts.ATTEMPTS
+        ]
+        part = self.total[
+            customer_class * level_counts.WIDTH + level_counts.ATTEMPTS
+        ]
         return part / whole if whole > 0.0 else 1.0
 
     def _unit(self, now: float) -> float:
         unit = self.scale.unit(now)
-        if unit < shares.RESCALE:
+        if unit < level_counts.RESCALE:
             return unit
         for table in (self.total, *self.tables.values()):
-            shares.scale(table, 1.0 / unit)
-        self.scale = shares.Scale(now)
+            level_counts.scale(table, 1.0 / unit)
+        self.scale = level_counts.Scale(now)
         return 1.0
 
     def _score(self, upstream, customer_class, category, unit) -> float:
@@ -128,10 +138,10 @@
         def share(column: int, whole: int, usual: float) -> float:
             found = usual
             for row, prior in (
-                (shares.ALL, PRIOR),
+                (level_counts.ALL, PRIOR),
                 (customer_class, CLASS_PRIOR),
             ):
-                start = row * shares.WIDTH
+                start = row * level_counts.WIDTH
                 part = self.total[start + column]
                 full = self.total[start + whole]
                 if own is not None:
@@ -145,11 +155,15 @@
 
         if category == levels.ERROR:
             return detectors.score(
-                share(shares.ERRORS, shares.ATTEMPTS, USUAL_FAILURES)
+                share(
+                    level_counts.ERRORS, level_counts.ATTEMPTS, USUAL_FAILURES
+                )
             )
         if category == levels.BROKEN:
             return detectors.score(
-                share(shares.BROKENS, shares.ATTEMPTS, USUAL_FAILURES)
+                share(
+                    level_counts.BROKENS, level_counts.ATTEMPTS, USUAL_FAILURES
+                )
             )
         if category == levels.UNRATED:
             return 1.0
--- a/carawaystair/outlier/health.py
+++ b/carawaystair/outlier/health.py
@@ -4,12 +4,12 @@
 
 from carawaystair import clock
 from carawaystair import interfaces
-from carawaystair.outlier import held
-from carawaystair.outlier import known as knowns
-from carawaystair.outlier import local
+from carawaystair.outlier import effective_state
+from carawaystair.outlier import local_ejections
+from carawaystair.outlier import local_weights
 from carawaystair.outlier import messages
-from carawaystair.outlier import own as owns
-from carawaystair.outlier import view as views
+from carawaystair.outlier import node_leases
+from carawaystair.outlier import upstream_index
 
 NOTHING: frozenset[str] = frozenset()
 # A request path that did not ask for a trial for so long offers none.
@@ -27,18 +27,18 @@
     def __init__(
         self,
         me: interfaces.Member,
-        known: knowns.Known,
+        known: upstream_index.Known,
         rng: random.Random,
     ) -> None:
         self.me = me
         self.known = known
         self.rng = rng
-        self.weights = local.Weights()
-        self.holdings: dict[str, held.Holding] = {}
+        self.weights = local_weights.Weights()
+        self.holdings: dict[str, node_leases.Holding] = {}
         # Ejections of this node alone, for detectors that are not pooled.
-        self.owns: dict[str, owns.Own] = {}
-        self.views: dict[str, views.View] = {}
-        self.factors: dict[str, views.Factor] = {}
+        self.owns: dict[str, local_ejections.Own] = {}
+        self.views: dict[str, effective_state.View] = {}
+        self.factors: dict[str, effective_state.Factor] = {}
         self.asked: dict[str, float] = {}
         known.callbacks.append(self.renew)
 
@@ -73,7 +73,7 @@
             weight *= factor.at(customer, now, self.rng)
         ramp = self.known.ramp(upstream)
         if ramp < 1.0 and self.rng.random() >= ramp:
-            weight *= views.LEAST_WEIGHT
+            weight *= effective_state.LEAST_WEIGHT
         return weight
 
     def trial(self, service: str) -> str | None:
@@ -95,13 +95,13 @@
         now = clock.now()
         holding = self.holdings.get(state.service)
         if holding is None:
-            holding = self.holdings[state.service] = held.Holding()
+            holding = self.holdings[state.service] = node_leases.Holding()
         heeded = holding.accept(state, now)
         if heeded:
             self.refresh(state.service)
         return heeded
 
-    def lease(self, service: str, upstream: str) -> held.Lease | None:
+    def lease(self, service: str, upstream: str) -> node_leases.Lease | None:
         """Return what is granted for an upstream, if anything."""
         holding = self.holdings.get(service)
         return None if holding is None else holding.leases.get(upstream)
@@ -115,11 +115,11 @@
 
     def outstanding(self, service: str) -> messages.Held:
         """Return what is held, for a new coordinator."""
-        holding = self.holdings.get(service) or held.Holding()
+        holding = self.holdings.get(service) or node_leases.Holding()
         phases = holding.phases(clock.now())
         return messages.Held(service, holding.order[0], phases)
 
-    def refresh(self, service: str) -> views.View:
+    def refresh(self, service: str) -> effective_state.View:
         """Work out the view of a service again."""
         now = clock.now()
         holding = self.holdings.get(service)
@@ -128,7 +128,7 @@
         leases = {} if holding is None else holding.leases
         own = self.owns.get(service)
         mine = [] if own is None else own.ejected(now)
-        view = views.make(
+        view = effective_state.make(
             service, self.known, self.me.data_centre, leases, mine, now
         )
         old = self.views.get(service)
@@ -150,7 +150,7 @@
         for service in list(self.views):
             self.refresh(service)
 
-    def _view(self, service: str) -> views.View:
+    def _view(self, service: str) -> effective_state.View:
         view = self.views[service]
         fresh = view.version == self.known.version(service)
         if fresh and clock.now() < view.until:
--- a/carawaystair/outlier/intake.py
+++ b/carawaystair/outlier/ingestion.py
@@ -4,13 +4,13 @@
 
 from carawaystair.outlier import baseline as baselines
 from carawaystair.outlier import detectors
-from carawaystair.outlier import ledger as ledgers
+from carawaystair.outlier import evidence_pool
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import pool as pools
-from carawaystair.outlier import reporters as reporting
+from carawaystair.outlier import record_store
+from carawaystair.outlier import reporting_nodes
 from carawaystair.outlier import scope as scopes
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import upstream_record
 
 # Categories that count as bad attempts of an episode.
 BAD = frozenset(
@@ -47,10 +47,10 @@
 
     def __init__(
         self,
-        ledger: ledgers.Ledger,
-        pool: pools.Pool,
+        ledger: record_store.Ledger,
+        pool: evidence_pool.Pool,
         detector: detectors.Detector,
-        reporters: reporting.Reporters,
+        reporters: reporting_nodes.Reporters,
         routes: levels.Routes,
     ) -> None:
         self.ledger = ledger
@@ -90,7 +90,7 @@
         )
         self.reporters.note(
             report.host,
-            reporting.Reporter(
+            reporting_nodes.Reporter(
                 address,
                 report.data_centre,
                 now,
@@ -160,7 +160,7 @@
 
     def _suspected(self, upstream: str) -> bool:
         track = self.ledger.tracks.get(upstream)
-        return track is not None and track.state != tracks.HEALTHY
+        return track is not None and track.state != upstream_record.HEALTHY
 
     def _forget_groups(self, track) -> None:
         if track.episode is not None:
@@ -177,7 +177,11 @@
             track.hinted = now
         if ill:
             self.detector.observe(cell.upstream, ILL_SCORE, 1.0, now)
-        elif well and track is not None and track.state == tracks.EJECTED:
+        elif (
+            well
+            and track is not None
+            and track.state == upstream_record.EJECTED
+        ):
             soon = now + WELL_WAIT_S
             track.backoff_until = min(track.backoff_until, soon)
 
--- a/carawaystair/outlier/lead.py
+++ b/carawaystair/outlier/leadership.py
@@ -15,12 +15,12 @@
 
 from carawaystair import clock
 from carawaystair import interfaces
-from carawaystair.outlier import choice as choices
 from carawaystair.outlier import coordinator as coordinators
+from carawaystair.outlier import coordinator_role
 from carawaystair.outlier import detectors
-from carawaystair.outlier import known as knowns
 from carawaystair.outlier import messages
-from carawaystair.outlier import seat as seats
+from carawaystair.outlier import placement as placements
+from carawaystair.outlier import upstream_index
 from carawaystair import timeline as timelines
 
 TICK_S = 0.05
@@ -72,10 +72,10 @@
 
     def __init__(
         self,
-        choice: choices.Choice,
-        known: knowns.Known,
+        choice: placements.Choice,
+        known: upstream_index.Known,
         links: interfaces.Transport,
-        sender: seats.Sender,
+        sender: coordinator_role.Sender,
         detect: Detect,
         holdings: Holdings,
         timeline: timelines.Timeline,
@@ -91,7 +91,7 @@
         self.holdings = holdings
         self.timeline = timeline
         self.rng = rng
-        self.seats: dict[str, seats.Seat] = {}
+        self.seats: dict[str, coordinator_role.Seat] = {}
         self.mirrors: dict[str, Mirrored] = {}
         self.tasks: set[asyncio.Task] = set()
         links.handle(messages.Ask, self.answer)
@@ -143,7 +143,7 @@
             for service in list(self.seats):
                 self._tick_seat(self.seats[service], now)
 
-    def _tick_seat(self, seat: seats.Seat, now: float) -> None:
+    def _tick_seat(self, seat: coordinator_role.Seat, now: float) -> None:
         coordinator = seat.coordinator
         if now - coordinator.heard > IDLE_S and not coordinator.ledger.held():
             del self.seats[coordinator.service]
@@ -160,22 +160,24 @@
         )
         self._publish(seat, now)
         seat.renew(self.choice.alive, TICK_S, now)
-        if now - seat.mirrored >= seats.MIRROR_EVERY_S:
+        if now - seat.mirrored >= coordinator_role.MIRROR_EVERY_S:
             standby = self.choice.of(coordinator.service).standby
             seat.mirror(self.choice.alive, standby, now)
 
-    def _seat(self, service: str, now: float) -> seats.Seat:
+    def _seat(self, service: str, now: float) -> coordinator_role.Seat:
         seat = self.seats.get(service)
         if seat is None:
             coordinator = coordinators.Coordinator(
                 service, self.known, self.detect(service), self.rng, now
             )
             me = self.choice.members.me
-            seat = seats.Seat(me, coordinator, self.sender, now)
+            seat = coordinator_role.Seat(me, coordinator, self.sender, now)
             self.seats[service] = seat
         return seat
 
-    def _led(self, seat: seats.Seat, epoch: int, now: float) -> bool:
+    def _led(
+        self, seat: coordinator_role.Seat, epoch: int, now: float
+    ) -> bool:
         """Tell whether this process may decide on a service just now.
 
         :param epoch: that a node has heard of.
@@ -194,7 +196,7 @@
             self._spawn(self._take_over(seat))
         return seat.coordinator.settled
 
-    async def _take_over(self, seat: seats.Seat) -> None:
+    async def _take_over(self, seat: coordinator_role.Seat) -> None:
         """Learn what is outstanding, then start a new epoch."""
         service = seat.coordinator.service
         seat.asked.clear()
@@ -216,7 +218,7 @@
         self.sender.send(reporters, seat.states(self.choice.alive, now))
         self._publish(seat, now)
 
-    async def _ask(self, seat: seats.Seat, peer: str) -> bool:
+    async def _ask(self, seat: coordinator_role.Seat, peer: str) -> bool:
         """Ask one process, and again when it does not answer."""
         question = messages.Ask(seat.coordinator.service)
         for _attempt in range(ASK_TIMES):
@@ -226,7 +228,9 @@
                 return True
         return False
 
-    def _ask_node(self, seat: seats.Seat, report: messages.Report) -> None:
+    def _ask_node(
+        self, seat: coordinator_role.Seat, report: messages.Report
+    ) -> None:
         """Ask a node that holds what a new coordinator may not know."""
         fresh = report.host not in seat.asked
         if not seat.leading or not fresh or len(seat.asked) >= MOST_ASKED:
@@ -236,7 +240,7 @@
         if member is not None:
             self._spawn(self._ask(seat, member.peer))
 
-    def _adopt(self, seat: seats.Seat, held: messages.Held) -> None:
+    def _adopt(self, seat: coordinator_role.Seat, held: messages.Held) -> None:
         if seat.coordinator.settled:
             return
         seat.epoch = max(seat.epoch, held.epoch)
@@ -254,13 +258,13 @@
             epoch = max(epoch, mirrored.epoch)
         seat = self.seats.get(service)
         if seat is not None and seat.epoch >= epoch:
-            phases = seat.coordinator.phases(seats.LEASE_S, now)
+            phases = seat.coordinator.phases(coordinator_role.LEASE_S, now)
             found = {phase.entry.upstream: phase for phase in phases}
             epoch = seat.epoch
         ordered = tuple(phase for _name, phase in sorted(found.items()))
         return messages.Held(service, epoch, ordered)
 
-    def _publish(self, seat: seats.Seat, now: float) -> None:
+    def _publish(self, seat: coordinator_role.Seat, now: float) -> None:
         service = seat.coordinator.service
         ledger = seat.coordinator.ledger
         for event in ledger.events:
--- a/carawaystair/outlier/ledger.py
+++ b/carawaystair/outlier/record_store.py
@@ -8,9 +8,9 @@
 
 from carawaystair import invariants
 from carawaystair.outlier import floor
-from carawaystair.outlier import known as knowns
 from carawaystair.outlier import scope as scopes
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import upstream_index
+from carawaystair.outlier import upstream_record
 
 
 class Ledger:
@@ -20,31 +20,33 @@
     :param known: the upstreams.
     """
 
-    def __init__(self, service: str, known: knowns.Known) -> None:
+    def __init__(self, service: str, known: upstream_index.Known) -> None:
         self.service = service
         self.known = known
-        self.tracks: dict[str, tracks.Track] = {}
+        self.tracks: dict[str, upstream_record.Track] = {}
         self.serial = 0
         # What is still to be sent and to be shown.
-        self.changed: dict[str, tracks.Track] = {}
-        self.events: list[tracks.Transition] = []
+        self.changed: dict[str, upstream_record.Track] = {}
+        self.events: list[upstream_record.Transition] = []
 
-    def track(self, upstream: str, now: float) -> tracks.Track:
+    def track(self, upstream: str, now: float) -> upstream_record.Track:
         """Return the track of an upstream, made when missing."""
         found = self.tracks.get(upstream)
         if found is None:
-            found = self.tracks[upstream] = tracks.Track(upstream, now)
+            found = self.tracks[upstream] = upstream_record.Track(
+                upstream, now
+            )
         return found
 
-    def held(self) -> tuple[tracks.Track, ...]:
+    def held(self) -> tuple[upstream_record.Track, ...]:
         """Return the tracks that nodes are told of, by id."""
         return tuple(
             track
             for _name, track in sorted(self.tracks.items())
-            if track.state != tracks.HEALTHY
+            if track.state != upstream_record.HEALTHY
         )
 
-    def change(self, track: tracks.Track) -> None:
+    def change(self, track: upstream_record.Track) -> None:
         """Take note that nodes must be told of a track."""
         self.serial += 1
         track.serial = self.serial
@@ -52,9 +54,9 @@
 
     def tell(self, kind: str, upstream: str, text: str) -> None:
         """Show an event in the time line."""
-        self.events.append(tracks.Transition(kind, upstream, text))
+        self.events.append(upstream_record.Transition(kind, upstream, text))
 
-    def room(self, track: tracks.Track, place: str = '') -> bool:
+    def room(self, track: upstream_record.Track, place: str = '') -> bool:
         """Tell whether the floor allows to take an upstream out.
 
         :param place: for callers of this data centre only, or empty.
--- a/carawaystair/outlier/pace.py
+++ b/carawaystair/outlier/report_pace.py
@@ -5,7 +5,7 @@
 
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import reporters as reporting
+from carawaystair.outlier import reporting_nodes
 
 # Bounds are worked out this often at most, seconds: at first soon, since
 # without bounds a hang shows at its timeout only.
@@ -37,14 +37,14 @@
         self.looked = now
         self.version = 0
         self.bounds: dict[int, levels.Bounds] = {}
-        self.every_s = reporting.LEAST_EVERY_S
+        self.every_s = reporting_nodes.LEAST_EVERY_S
         self.spacing_s = LEAST_SPACING_S
         self.urgent_level = levels.SLOW
 
     def look(
         self,
         routes: levels.Routes,
-        reporters: reporting.Reporters,
+        reporters: reporting_nodes.Reporters,
         rate: float,
         least_s: float,
         now: float,
--- a/carawaystair/outlier/service.py
+++ b/carawaystair/outlier/service.py
@@ -8,15 +8,15 @@
 
 from carawaystair import clock
 from carawaystair import interfaces
-from carawaystair.outlier import choice as choices
 from carawaystair.outlier import detectors
 from carawaystair.outlier import evidence
 from carawaystair.outlier import health
-from carawaystair.outlier import known as knowns
-from carawaystair.outlier import lead
+from carawaystair.outlier import in_flight
+from carawaystair.outlier import leadership
 from carawaystair.outlier import messages
-from carawaystair.outlier import outgoing
-from carawaystair.outlier import watch as watches
+from carawaystair.outlier import paced_sender
+from carawaystair.outlier import placement as placements
+from carawaystair.outlier import upstream_index
 from carawaystair import timeline as timelines
 
 SWEEP_S = 1.0
@@ -57,15 +57,15 @@
         self.members = members
         self.factories = factories
         self.sleep = sleep
-        self.known = knowns.Known(directory, routing)
-        self.choice = choices.Choice(members)
-        self.outgoing = self.add_dependency(outgoing.Outgoing(datagrams))
+        self.known = upstream_index.Known(directory, routing)
+        self.choice = placements.Choice(members)
+        self.outgoing = self.add_dependency(paced_sender.Outgoing(datagrams))
         self.health = health.Health(members.me, self.known, rng)
         self.evidence = evidence.Evidence(
             self.health, self.tell, self.make, timeline, rng
         )
         self.lead = self.add_dependency(
-            lead.Lead(
+            leadership.Lead(
                 self.choice,
                 self.known,
                 links,
@@ -123,7 +123,7 @@
     async def _tick(self) -> None:
         """Look for overdue answers and send what is due."""
         while not self.should_stop:
-            await self.sleep(watches.TICK_S)
+            await self.sleep(in_flight.TICK_S)
             self.evidence.tick(clock.now())
 
     @mode.Service.task
--- a/carawaystair/outlier/allbad.py
+++ b/carawaystair/outlier/service_outage.py
@@ -5,8 +5,8 @@
 """
 
 from carawaystair import interfaces
-from carawaystair.outlier import ledger as ledgers
-from carawaystair.outlier import pool as pools
+from carawaystair.outlier import evidence_pool
+from carawaystair.outlier import record_store
 
 # All upstreams are bad when so many of those judged fail so many of their
 # attempts.  Slowness of the remaining ones under the load of the ejected does
@@ -29,7 +29,9 @@
     :param pool: their evidence.
     """
 
-    def __init__(self, ledger: ledgers.Ledger, pool: pools.Pool) -> None:
+    def __init__(
+        self, ledger: record_store.Ledger, pool: evidence_pool.Pool
+    ) -> None:
         self.ledger = ledger
         self.pool = pool
         self.active = False
--- a/carawaystair/outlier/judge.py
+++ b/carawaystair/outlier/state_machine.py
@@ -8,12 +8,12 @@
 import random
 
 from carawaystair.outlier import detectors
-from carawaystair.outlier import ledger as ledgers
-from carawaystair.outlier import pool as pools
-from carawaystair.outlier import reporters as reporting
+from carawaystair.outlier import evidence_pool
+from carawaystair.outlier import record_store
+from carawaystair.outlier import reporting_nodes
 from carawaystair.outlier import scope as scopes
-from carawaystair.outlier import track as tracks
 from carawaystair.outlier import tuning as tunings
+from carawaystair.outlier import upstream_record
 
 # A refusal for the floor is told again after this, seconds.
 REFUSED_EVERY_S = 30.0
@@ -41,10 +41,10 @@
 
     def __init__(
         self,
-        ledger: ledgers.Ledger,
-        pool: pools.Pool,
+        ledger: record_store.Ledger,
+        pool: evidence_pool.Pool,
         detector: detectors.Detector,
-        reporters: reporting.Reporters,
+        reporters: reporting_nodes.Reporters,
         rng: random.Random,
     ) -> None:
         self.ledger = ledger
@@ -53,33 +53,33 @@
         self.reporters = reporters
         self.rng = rng
         self.steps = {
-            tracks.HEALTHY: self._healthy,
-            tracks.SUSPECTED: self._suspected,
-            tracks.EJECTED: self._ejected,
-            tracks.TRIED: self._tried,
-            tracks.RETURNING: self._returning,
+            upstream_record.HEALTHY: self._healthy,
+            upstream_record.SUSPECTED: self._suspected,
+            upstream_record.EJECTED: self._ejected,
+            upstream_record.TRIED: self._tried,
+            upstream_record.RETURNING: self._returning,
         }
 
     def judge(
-        self, track: tracks.Track, tuning: tunings.Tuning, now: float
+        self, track: upstream_record.Track, tuning: tunings.Tuning, now: float
     ) -> None:
         """Decide on one upstream."""
         evidence = self._evidence(track, now)
         self.steps[track.state](track, evidence, tuning, now)
 
-    def clear(self, track: tracks.Track, now: float) -> None:
+    def clear(self, track: upstream_record.Track, now: float) -> None:
         """Hold nothing against an upstream any more."""
-        track.enter(tracks.HEALTHY, 1.0, now)
+        track.enter(upstream_record.HEALTHY, 1.0, now)
         track.scope = scopes.Scope(scopes.EVERYBODY)
         self.pool.include(track.upstream)
         self.ledger.change(track)
 
-    def forget(self, track: tracks.Track) -> None:
+    def forget(self, track: upstream_record.Track) -> None:
         """Weigh an upstream anew."""
         self.detector.forget(track.upstream)
         self.forget_groups(track)
 
-    def forget_groups(self, track: tracks.Track) -> None:
+    def forget_groups(self, track: upstream_record.Track) -> None:
         """Weigh the groups of its callers anew."""
         if track.episode is not None:
             for key in track.episode.keys(track.upstream):
@@ -105,8 +105,11 @@
                 self.clear(track, now)
         elif evidence >= tuning.eject:
             self._consider(track, tuning, now)
-        elif track.weight < tracks.OUT and now - track.since > tuning.hold_s:
-            track.weight = tracks.SOFT_WEIGHT
+        elif (
+            track.weight < upstream_record.OUT
+            and now - track.since > tuning.hold_s
+        ):
+            track.weight = upstream_record.SOFT_WEIGHT
             self.ledger.change(track)
 
     def _ejected(self, track, evidence, tuning, now) -> None:
@@ -115,7 +118,7 @@
         self.forget(track)
         track.episode = scopes.Episode(now)
         track.copied = self.reporters.copies()
-        track.enter(tracks.TRIED, 0.0, now)
+        track.enter(upstream_record.TRIED, 0.0, now)
         self.ledger.change(track)
 
     def _tried(self, track, evidence, tuning, now) -> None:
@@ -123,7 +126,7 @@
             track.severity = evidence
             self._eject(track, tuning, 'It failed its trial.', now)
         elif track.good >= tuning.trials and evidence < tuning.clear:
-            track.enter(tracks.RETURNING, 1.0, now)
+            track.enter(upstream_record.RETURNING, 1.0, now)
             self.pool.include(track.upstream)
             self.ledger.change(track)
             text = 'It answered %d trials well.' % tuning.trials
@@ -140,9 +143,9 @@
         track.severity = evidence
         track.scope = scopes.Scope(scopes.EVERYBODY)
         hard = not self._many(track, now) and self.ledger.room(track)
-        weight = 0.0 if hard else tracks.SOFT_WEIGHT
+        weight = 0.0 if hard else upstream_record.SOFT_WEIGHT
         track.copied = self.reporters.copies()
-        track.enter(tracks.SUSPECTED, weight, now)
+        track.enter(upstream_record.SUSPECTED, weight, now)
         track.suspected_at = now
         self.pool.exclude(track.upstream)
         self.ledger.change(track)
@@ -175,7 +178,7 @@
             text += ', for %s %s only' % scope
         self._eject(track, tuning, text + '.', now)
 
-    def _many(self, track: tracks.Track, now: float) -> bool:
+    def _many(self, track: upstream_record.Track, now: float) -> bool:
         """Tell whether many others became suspect at about the same time."""
         others = sum(
             one.suspected_at > now - MANY_S
@@ -199,7 +202,7 @@
             return
         jitter = self.rng.uniform(*JITTER)
         track.back_off(tuning.backoff_s, jitter, now)
-        track.enter(tracks.EJECTED, 0.0, now)
+        track.enter(upstream_record.EJECTED, 0.0, now)
         self.ledger.change(track)
         self.ledger.tell('upstream-ejected', track.upstream, text)
         self.ledger.assert_floor()
@@ -211,8 +214,13 @@
         return self.ledger.room(track, track.scope.group if place else '')
 
     def _refuse(self, track, now) -> None:
-        if track.state != tracks.SUSPECTED or track.weight < tracks.OUT:
-            track.enter(tracks.SUSPECTED, tracks.SOFT_WEIGHT, now)
+        if (
+            track.state != upstream_record.SUSPECTED
+            or track.weight < upstream_record.OUT
+        ):
+            track.enter(
+                upstream_record.SUSPECTED, upstream_record.SOFT_WEIGHT, now
+            )
             track.scope = scopes.Scope(scopes.EVERYBODY)
             self.ledger.change(track)
         if now - track.refused >= REFUSED_EVERY_S:
--- a/test/test_outlier_baseline.py
+++ b/test/test_outlier_baseline.py
@@ -5,11 +5,11 @@
 from carawaystair import interfaces
 from carawaystair import manifest
 from carawaystair.outlier import baseline
-from carawaystair.outlier import known
-from carawaystair.outlier import ledger
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import track
+from carawaystair.outlier import record_store
+from carawaystair.outlier import upstream_index
+from carawaystair.outlier import upstream_record
 from test import fakes
 
 NAMES = ('u0', 'u1', 'u2')
@@ -37,8 +37,8 @@
         ]
         directory = fakes.Directory(*upstreams)
         routing = Routing()
-        self.ledger = ledger.Ledger(
-            's', known.Known(directory, lambda: routing)
+        self.ledger = record_store.Ledger(
+            's', upstream_index.Known(directory, lambda: routing)
         )
         self.routes = levels.Routes()
         self.part = baseline.Baseline(self.ledger, self.routes)
@@ -58,7 +58,7 @@
         """Take upstreams for suspects."""
         for name in names:
             found = self.ledger.track(name, self.now)
-            found.state = track.SUSPECTED
+            found.state = upstream_record.SUSPECTED
 
     def late(self):
         """Return from which latency on an answer is late, seconds."""
--- a/test/test_outlier_coordinator.py
+++ b/test/test_outlier_coordinator.py
@@ -9,10 +9,10 @@
 from carawaystair import interfaces
 from carawaystair import manifest
 from carawaystair.outlier import coordinator
-from carawaystair.outlier import known
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
 from carawaystair.outlier import scope
+from carawaystair.outlier import upstream_index
 from carawaystair import plugins
 from test import fakes
 
@@ -43,7 +43,7 @@
         self.nodes = nodes
         directory = fakes.Directory(*pool)
         routing = Routing(**changes)
-        self.known = known.Known(directory, lambda: routing)
+        self.known = upstream_index.Known(directory, lambda: routing)
         self.known.table('s')
         self.part = coordinator.Coordinator(
             's',
