--- a/carawaystair/outlier/baseline.py
+++ b/carawaystair/outlier/baseline.py
@@ -16,15 +16,15 @@
 from carawaystair.outlier import upstream_record
 
 # Samples wait so long once their route has bounds, seconds.
-WAIT_S = 5.0
+SAMPLE_DELAY_S = 5.0
 # More of them waiting are let go, the oldest first.
-MOST_WAITING = 2000
+MAX_WAITING = 2000
 
 
-class Waiting(typing.NamedTuple):
+class WaitingSample(typing.NamedTuple):
     """One sample with the time at which it came."""
 
-    since: float
+    received_at: float
     sample: messages.Sample
 
 
@@ -36,25 +36,28 @@
     """
 
     def __init__(
-        self, ledger: record_store.Ledger, routes: levels.Routes
+        self, store: record_store.RecordStore, routes: levels.RouteLatencies
     ) -> None:
-        self.ledger = ledger
+        self.store = store
         self.routes = routes
-        self.waiting: collections.deque[Waiting] = collections.deque(
-            maxlen=MOST_WAITING
+        self.waiting: collections.deque[WaitingSample] = collections.deque(
+            maxlen=MAX_WAITING
         )
 
-    def take(
+    def add_samples(
         self, samples: typing.Iterable[messages.Sample], now: float
     ) -> None:
         """Take the samples of one report, and let in what has waited."""
         for sample in samples:
-            if self.routes.bounded(sample.route, now):
-                self.waiting.append(Waiting(now, sample))
+            if self.routes.has_bounds(sample.route, now):
+                self.waiting.append(WaitingSample(now, sample))
             else:
                 self._add(sample, now)
         suspects = None
-        while self.waiting and self.waiting[0].since <= now - WAIT_S:
+        while (
+            self.waiting
+            and self.waiting[0].received_at <= now - SAMPLE_DELAY_S
+        ):
             if suspects is None:
                 suspects = self._suspects()
             sample = self.waiting.popleft().sample
@@ -70,12 +73,14 @@
         When most of them are slow the service is, and the bounds must
         follow; otherwise they would stay suspects for ever.
         """
-        known = self.ledger.known.table(self.ledger.service)
+        upstreams = self.store.index.by_id(self.store.service)
         suspects = [
-            track
-            for track in self.ledger.tracks.values()
-            if track.state != upstream_record.HEALTHY
+            record
+            for record in self.store.records.values()
+            if record.state != upstream_record.HEALTHY
         ]
-        if len(suspects) * 2 > len(known):
+        if len(suspects) * 2 > len(upstreams):
             return frozenset()
-        return frozenset(levels.short(track.upstream) for track in suspects)
+        return frozenset(
+            levels.short_id(record.upstream) for record in suspects
+        )
--- a/carawaystair/outlier/coordinator.py
+++ b/carawaystair/outlier/coordinator.py
@@ -23,12 +23,12 @@
 from carawaystair.outlier import upstream_record
 
 # Copies to an upstream under trial, as a multiple of its usual share.
-TRIAL_SHARES = 2.0
-MOST_TRIAL = 0.5
-HOUSEKEEPING_S = 5.0
+TRIAL_SHARE_FACTOR = 2.0
+MAX_TRIAL_CHANCE = 0.5
+CLEANUP_INTERVAL_S = 5.0
 # An adopted upstream is not given up as gone before the directory of this
 # process had time to hear of it, seconds.
-DIRECTORY_S = 10.0
+MISSING_GRACE_S = 10.0
 
 
 class Coordinator:
@@ -44,88 +44,96 @@
     def __init__(
         self,
         service: str,
-        known: upstream_index.Known,
+        index: upstream_index.UpstreamIndex,
         detector: detectors.Detector,
         rng: random.Random,
         now: float,
     ) -> None:
         self.service = service
-        self.known = known
+        self.index = index
         self.detector = detector
-        self.pool = evidence_pool.Pool(now)
-        self.reporters = reporting_nodes.Reporters()
-        self.routes = levels.Routes()
-        self.ledger = record_store.Ledger(service, known)
-        self.judge = state_machine.Judge(
-            self.ledger, self.pool, detector, self.reporters, rng
+        self.pool = evidence_pool.EvidencePool(now)
+        self.reporters = reporting_nodes.ReportingNodes()
+        self.routes = levels.RouteLatencies()
+        self.store = record_store.RecordStore(service, index)
+        self.state_machine = state_machine.StateMachine(
+            self.store, self.pool, detector, self.reporters, rng
         )
-        self.intake = ingestion.Intake(
-            self.ledger, self.pool, detector, self.reporters, self.routes
+        self.ingestion = ingestion.Ingestion(
+            self.store, self.pool, detector, self.reporters, self.routes
         )
-        self.all_bad = service_outage.AllBad(self.ledger, self.pool)
-        self.cleaned = now
-        self.heard = now
+        self.service_outage = service_outage.ServiceOutage(
+            self.store, self.pool
+        )
+        self.cleaned_at = now
+        self.last_report_at = now
         # Nothing may be granted before earlier grants are known.
-        self.settled = False
+        self.takeover_done = False
 
-    def take(self, report: messages.Report, address: str, now: float) -> None:
+    def receive_report(
+        self, report: messages.Report, address: str, now: float
+    ) -> None:
         """Take the report of a node and decide."""
-        self.heard = now
-        names = self.intake.take(report, address, now)
-        self._judge(
-            [name for name in names if name in self.ledger.tracks], now
+        self.last_report_at = now
+        names = self.ingestion.ingest(report, address, now)
+        self._evaluate(
+            [name for name in names if name in self.store.records], now
         )
 
     def tick(self, now: float) -> None:
         """Do what time alone brings about."""
-        self._follow_directory(now)
-        held = [track.upstream for track in self.ledger.held()]
-        if self.all_bad.tick(now):
+        self._apply_directory(now)
+        held = [record.upstream for record in self.store.unhealthy()]
+        if self.service_outage.tick(now):
             for name in held:
-                self.judge.forget(self.ledger.tracks[name])
-                self.judge.clear(self.ledger.tracks[name], now)
+                self.state_machine.reset_evidence(self.store.records[name])
+                self.state_machine.clear(self.store.records[name], now)
         else:
-            self._judge(held, now)
-        if now - self.cleaned >= HOUSEKEEPING_S:
-            self.cleaned = now
-            self._clean(now)
+            self._evaluate(held, now)
+        if now - self.cleaned_at >= CLEANUP_INTERVAL_S:
+            self.cleaned_at = now
+            self._clean_up(now)
 
     def entry(
-        self, track: upstream_record.Track, lease_s: float, now: float
+        self,
+        record: upstream_record.UpstreamRecord,
+        lease_s: float,
+        now: float,
     ) -> messages.Entry:
         """Return what nodes are told of one upstream."""
         trial = 0.0
-        if track.copied:
-            table = self.known.table(self.service).values()
-            able = sum(self.known.able(one) for one in table)
-            trial = min(TRIAL_SHARES / max(able, 1), MOST_TRIAL)
-        return track.entry(self.tuning(), trial, lease_s, now)
+        if record.tested_by_copies:
+            table = self.index.by_id(self.service).values()
+            usable = sum(self.index.usable(one) for one in table)
+            trial = min(TRIAL_SHARE_FACTOR / max(usable, 1), MAX_TRIAL_CHANCE)
+        return record.entry(self.tuning(), trial, lease_s, now)
 
     def entries(
         self, lease_s: float, now: float
     ) -> tuple[messages.Entry, ...]:
         """Return what nodes are told."""
         return tuple(
-            self.entry(track, lease_s, now) for track in self.ledger.held()
+            self.entry(record, lease_s, now)
+            for record in self.store.unhealthy()
         )
 
     def digest(self, now: float) -> int:
         """Return the digest of what nodes should hold."""
         tuning = self.tuning()
         return node_leases.digest(
-            track.entry(tuning, 0.0, 0.0, now)
-            for track in self.ledger.tracks.values()
+            record.entry(tuning, 0.0, 0.0, now)
+            for record in self.store.records.values()
         )
 
     def phases(self, lease_s: float, now: float) -> tuple[messages.Phase, ...]:
         """Return what a standby needs to know."""
         return tuple(
             messages.Phase(
-                self.entry(track, lease_s, now),
-                track.flapped(now),
-                max(int((track.backoff_until - now) * 1000), 0),
+                self.entry(record, lease_s, now),
+                record.decayed_ejections(now),
+                max(int((record.backoff_until - now) * 1000), 0),
             )
-            for track in self.ledger.held()
+            for record in self.store.unhealthy()
         )
 
     def adopt(
@@ -133,80 +141,87 @@
     ) -> None:
         """Take over what an earlier coordinator granted."""
         for phase in phases:
-            if phase.entry.upstream not in self.ledger.tracks:
+            if phase.entry.upstream not in self.store.records:
                 self._adopt(phase, now)
 
     def tuning(self) -> tunings.Tuning:
         """Return the tuning that the manifest asks for."""
-        return tunings.of(self.known.service(self.service))
+        return tunings.for_service(self.index.service(self.service))
 
-    def _judge(self, names: typing.Iterable[str], now: float) -> None:
-        if not self.settled or self.all_bad.active:
+    def _evaluate(self, names: typing.Iterable[str], now: float) -> None:
+        if not self.takeover_done or self.service_outage.active:
             return
         tuning = self.tuning()
         for name in names:
-            self.judge.judge(self.ledger.tracks[name], tuning, now)
+            self.state_machine.step(self.store.records[name], tuning, now)
 
     def _adopt(self, phase: messages.Phase, now: float) -> None:
         entry, tuning = phase.entry, self.tuning()
-        track = self.ledger.track(entry.upstream, now)
-        state = ADOPTED.get(entry.kind, upstream_record.HEALTHY)
-        track.enter(state, entry.weight / 1000, now)
+        record = self.store.get_or_add(entry.upstream, now)
+        state = ADOPTED_STATES.get(entry.kind, upstream_record.HEALTHY)
+        record.set_state(state, entry.weight / 1000, now)
         if entry.data_centre:
-            track.scope = scopes.Scope(scopes.DATA_CENTRE, entry.data_centre)
+            record.scope = scopes.Scope(scopes.DATA_CENTRE, entry.data_centre)
         elif entry.customer_class >= 0:
             group = str(entry.customer_class)
-            track.scope = scopes.Scope(scopes.CUSTOMER, group)
+            record.scope = scopes.Scope(scopes.CUSTOMER, group)
         if state == upstream_record.RETURNING:
-            track.since = now + entry.ttl_ms / 1000 - tuning.slow_start_s
-        track.flaps, track.flaps_time = phase.flaps, now
-        track.severity = entry.severity / 1000
+            record.state_since = (
+                now + entry.ttl_ms / 1000 - tuning.slow_start_s
+            )
+        record.recent_ejections, record.recent_ejections_at = (
+            phase.recent_ejections,
+            now,
+        )
+        record.severity = entry.severity / 1000
         # A node knows no backoff; without one the trial comes soon.
-        track.backoff_until = now + phase.backoff_ms / 1000
+        record.backoff_until = now + phase.backoff_ms / 1000
         self.pool.exclude(entry.upstream)
-        self.ledger.change(track)
+        self.store.mark_changed(record)
 
-    def _follow_directory(self, now: float) -> None:
+    def _apply_directory(self, now: float) -> None:
         """Let go of upstreams that are gone, and of lives that are over."""
-        table = self.known.table(self.service)
-        for track in list(self.ledger.tracks.values()):
-            upstream = table.get(track.upstream)
+        table = self.index.by_id(self.service)
+        for record in list(self.store.records.values()):
+            upstream = table.get(record.upstream)
             if upstream is None:
-                away = now - track.since >= DIRECTORY_S
-                if away and track.state != upstream_record.HEALTHY:
-                    self.judge.forget(track)
-                    self.judge.clear(track, now)
-            elif track.incarnation is None:
-                track.incarnation = upstream.incarnation
-            elif track.incarnation != upstream.incarnation:
-                self._renew(track, now)
-
-    def _renew(self, track: upstream_record.Track, now: float) -> None:
+                missing = now - record.state_since >= MISSING_GRACE_S
+                if missing and record.state != upstream_record.HEALTHY:
+                    self.state_machine.reset_evidence(record)
+                    self.state_machine.clear(record, now)
+            elif record.incarnation is None:
+                record.incarnation = upstream.incarnation
+            elif record.incarnation != upstream.incarnation:
+                self._reset_record(record, now)
+
+    def _reset_record(
+        self, record: upstream_record.UpstreamRecord, now: float
+    ) -> None:
         """Hold nothing of its former life against an upstream."""
-        self.judge.forget(track)
-        self.judge.clear(track, now)
-        self.pool.forget(track.upstream)
-        del self.ledger.tracks[track.upstream]
-
-    def _clean(self, now: float) -> None:
-        self.reporters.forget(now)
-        self.routes.forget(now)
+        self.state_machine.reset_evidence(record)
+        self.state_machine.clear(record, now)
+        self.pool.remove(record.upstream)
+        del self.store.records[record.upstream]
+
+    def _clean_up(self, now: float) -> None:
+        self.reporters.remove_silent(now)
+        self.routes.remove_unused(now)
         forgettable = [
             name
-            for name, track in self.ledger.tracks.items()
-            if track.forgettable(now)
+            for name, record in self.store.records.items()
+            if record.forgettable(now)
         ]
         for name in forgettable:
-            self.judge.forget_groups(self.ledger.tracks[name])
-            del self.ledger.tracks[name]
-        table = self.known.table(self.service)
+            self.state_machine.reset_group_evidence(self.store.records[name])
+            del self.store.records[name]
+        table = self.index.by_id(self.service)
         for name in [name for name in self.pool.tables if name not in table]:
-            self.pool.forget(name)
-            self.detector.forget(name)
+            self.pool.remove(name)
+            self.detector.reset(name)
 
 
-ADOPTED = {
-    messages.HELD: upstream_record.SUSPECTED,
+ADOPTED_STATES = {
+    messages.SUSPECTED: upstream_record.SUSPECTED,
     messages.EJECTED: upstream_record.EJECTED,
     messages.RETURNING: upstream_record.RETURNING,
 }
--- a/carawaystair/outlier/coordinator_role.py
+++ b/carawaystair/outlier/coordinator_role.py
@@ -11,18 +11,22 @@
 # Length of an ejection's lease, seconds.  It grows with the members: to renew
 # it takes members / (lease / RENEWALS) datagrams a second.
 LEASE_S = 15.0
-MOST_LEASE_S = 90.0
-MEMBERS_A_SECOND = 40.0
-RENEWALS = 3.0
-MIRROR_EVERY_S = 5.0
+MAX_LEASE_S = 90.0
+RENEWALS_PER_S = 40.0
+RENEWALS_PER_LEASE = 3.0
+MIRROR_INTERVAL_S = 5.0
 # Bytes of entries in one datagram, and what an entry takes beside names.
 CHUNK_BYTES = 1000
 ENTRY_BYTES = 40
 
 # Upstreams in these states are told to all members, not only to the nodes
 # that use the service now: others may send it their first request.
-WIDE = frozenset(
-    (upstream_record.EJECTED, upstream_record.TRIED, upstream_record.RETURNING)
+ANNOUNCED_STATES = frozenset(
+    (
+        upstream_record.EJECTED,
+        upstream_record.ON_TRIAL,
+        upstream_record.RETURNING,
+    )
 )
 
 
@@ -33,7 +37,7 @@
         """Send each message to each address."""
 
 
-class Seat:
+class CoordinatorRole:
     """One service at its coordinator.
 
     :param me: this process.
@@ -56,16 +60,16 @@
         self.epoch = 0
         # Whether this process is the coordinator, as it sees the members.
         self.leading = False
-        self.taken = -1e9
-        self.asked: set[str] = set()
-        self.mirrored = now
+        self.takeover_at = -1e9
+        self.asked_nodes: set[str] = set()
+        self.mirrored_at = now
         # How far the round of renewals has come among the members.
-        self.renewed = 0.0
+        self.renewal_position = 0.0
 
     def lease_s(self, members: typing.Sized) -> float:
         """Return the length of an ejection's lease."""
-        wanted = len(members) / MEMBERS_A_SECOND * RENEWALS
-        return min(max(wanted, LEASE_S), MOST_LEASE_S)
+        wanted = len(members) / RENEWALS_PER_S * RENEWALS_PER_LEASE
+        return min(max(wanted, LEASE_S), MAX_LEASE_S)
 
     def publish(
         self,
@@ -74,27 +78,33 @@
         now: float,
     ) -> None:
         """Tell nodes what has changed."""
-        ledger = self.coordinator.ledger
-        if not ledger.changed:
+        store = self.coordinator.store
+        if not store.changed:
             return
         lease_s = self.lease_s(members)
-        near, wide = [], []
-        for track in ledger.changed.values():
-            track.told_all = track.told_all or track.state in WIDE
-            entry = self.coordinator.entry(track, lease_s, now)
-            (wide if track.told_all else near).append(entry)
-            if track.state == upstream_record.HEALTHY:
-                track.told_all = False
-        ledger.changed.clear()
+        reporters_only, everyone = [], []
+        for record in store.changed.values():
+            record.announced_to_all = (
+                record.announced_to_all or record.state in ANNOUNCED_STATES
+            )
+            entry = self.coordinator.entry(record, lease_s, now)
+            (everyone if record.announced_to_all else reporters_only).append(
+                entry
+            )
+            if record.state == upstream_record.HEALTHY:
+                record.announced_to_all = False
+        store.changed.clear()
         reporters = self.coordinator.reporters.addresses()
-        self.sender.send(reporters, self._states(near + wide))
-        told = set(reporters)
-        rest = [one.gossip for one in members if one.gossip not in told]
-        if wide:
-            self.sender.send(rest, self._states(wide))
-            self.mirror(members, standby, now)
-
-    def welcome(
+        self.sender.send(
+            reporters, self._state_messages(reporters_only + everyone)
+        )
+        notified = set(reporters)
+        rest = [one.gossip for one in members if one.gossip not in notified]
+        if everyone:
+            self.sender.send(rest, self._state_messages(everyone))
+            self.send_mirror(members, standby, now)
+
+    def send_missing(
         self,
         report: messages.Report,
         address: str,
@@ -103,19 +113,19 @@
     ) -> None:
         """Tell one node what its report shows that it lacks."""
         if report.bounds != self.pacer.version:
-            self.sender.send((address,), self.pacer.messages())
+            self.sender.send((address,), self.pacer.pace_messages())
         digest = self.coordinator.digest(now)
         if report.epoch < self.epoch or report.digest != digest:
-            self.sender.send((address,), self.states(members, now))
+            self.sender.send((address,), self.full_state(members, now))
 
-    def states(
+    def full_state(
         self, members: typing.Sequence[interfaces.Member], now: float
     ) -> tuple[messages.State, ...]:
         """Return all that nodes should hold."""
         entries = self.coordinator.entries(self.lease_s(members), now)
-        return self._states(entries, True)
+        return self._state_messages(entries, True)
 
-    def renew(
+    def renew_leases(
         self,
         members: typing.Sequence[interfaces.Member],
         passed_s: float,
@@ -125,27 +135,27 @@
 
         :param passed_s: since the last call.
         """
-        if not self.coordinator.ledger.held() or not members:
+        if not self.coordinator.store.unhealthy() or not members:
             return
-        share = passed_s / (self.lease_s(members) / RENEWALS)
-        start = self.renewed
-        self.renewed = start + share * len(members)
-        turn = [
+        share = passed_s / (self.lease_s(members) / RENEWALS_PER_LEASE)
+        start = self.renewal_position
+        self.renewal_position = start + share * len(members)
+        addresses = [
             members[index % len(members)].gossip
-            for index in range(int(start), int(self.renewed))
+            for index in range(int(start), int(self.renewal_position))
         ]
-        self.renewed %= len(members)
-        if turn:
-            self.sender.send(turn, self.states(members, now))
+        self.renewal_position %= len(members)
+        if addresses:
+            self.sender.send(addresses, self.full_state(members, now))
 
-    def mirror(
+    def send_mirror(
         self,
         members: typing.Sized,
         standby: interfaces.Member | None,
         now: float,
     ) -> None:
         """Tell the standby what it needs to take over."""
-        self.mirrored = now
+        self.mirrored_at = now
         if standby is None:
             return
         phases = self.coordinator.phases(self.lease_s(members), now)
@@ -158,7 +168,9 @@
         ]
         self.sender.send((standby.gossip,), parts)
 
-    def _states(self, entries, full=False) -> tuple[messages.State, ...]:
+    def _state_messages(
+        self, entries, full=False
+    ) -> tuple[messages.State, ...]:
         chunks = _chunks(entries, [len(one.upstream) for one in entries])
         # Only a state in one piece can say what is no longer held.
         full = full and len(chunks) <= 1
--- a/carawaystair/outlier/detectors.py
+++ b/carawaystair/outlier/detectors.py
@@ -19,7 +19,7 @@
     pooled: typing.ClassVar[bool]
 
     def observe(
-        self, upstream: str, score: float, count: float, now: float
+        self, upstream: str, mean_score: float, count: float, now: float
     ) -> None:
         """Take note of attempts.
 
@@ -34,7 +34,7 @@
         A healthy upstream reaches ``x`` about ``exp(-x)`` of the time.
         """
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Start anew for an upstream."""
 
 
@@ -46,7 +46,7 @@
 Factory = typing.Callable[[], Detector]
 
 
-def score(upper: float, lower: float = 0.0) -> float:
+def mean_score(upper: float, lower: float = 0.0) -> float:
     """Return the mean score of attempts between two tail shares.
 
     With P the share of siblings' attempts that are at least as bad, -ln P of
@@ -62,9 +62,9 @@
     return (upper * (1.0 - math.log(upper)) - low) / (upper - lower)
 
 
-def log_likelihood_ratio(score: float) -> float:
+def log_likelihood_ratio(mean_score: float) -> float:
     """Return the log likelihood ratio of one attempt, gray over healthy.
 
     :param score: of the attempt, see the module.
     """
-    return TILT_BASE + TILT * score
+    return TILT_BASE + TILT * mean_score
--- a/carawaystair/outlier/effective_state.py
+++ b/carawaystair/outlier/effective_state.py
@@ -13,17 +13,17 @@
 
 # Share of work of an upstream whose ejection the floor does not allow here.
 CLAMPED_WEIGHT = 0.2
-OUT_MILLI = 100
+OUT_OF_SERVICE_MILLI = 100
 # A returning upstream starts with this share of its work.
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 # Weight for the other requests: only when all others are full.
-LEAST_WEIGHT = 0.02
+MIN_WEIGHT = 0.02
 # A view is worked out again after this even when nothing was heard: leases
 # end and upstreams get warm by time alone.
-REFRESH_S = 1.0
+REFRESH_INTERVAL_S = 1.0
 
 
-class Factor(typing.NamedTuple):
+class WeightFactor(typing.NamedTuple):
     """What a lease makes of the weight of an upstream.
 
     Where a share of the work is meant, that share of the requests sees full
@@ -40,22 +40,22 @@
 
     weight: float
     customer_class: int = -1
-    share: float = 0.0
-    full_at: float = 0.0
+    full_share: float = 0.0
+    full_share_at: float = 0.0
     ramp_s: float = 1.0
 
-    def at(self, customer: str, now: float, rng: random.Random) -> float:
+    def draw(self, customer: str, now: float, rng: random.Random) -> float:
         """Return the factor for a request of a customer."""
         if self.customer_class >= 0:
             if not customer:
                 return 1.0
             if levels.customer_class(customer) != self.customer_class:
                 return 1.0
-        share = self.share
-        if self.full_at:
-            left = (self.full_at - now) / self.ramp_s
-            share = max(1.0 - left, LEAST_SHARE)
-        return 1.0 if share and rng.random() < share else self.weight
+        full_share = self.full_share
+        if self.full_share_at:
+            capacity = (self.full_share_at - now) / self.ramp_s
+            full_share = max(1.0 - capacity, MIN_SHARE)
+        return 1.0 if full_share and rng.random() < full_share else self.weight
 
 
 class Trial(typing.NamedTuple):
@@ -69,7 +69,7 @@
     chance: float
 
 
-class View(typing.NamedTuple):
+class EffectiveState(typing.NamedTuple):
     """What holds at this node for one service.
 
     :param ejected: ids that get no new work.
@@ -80,7 +80,7 @@
     """
 
     ejected: frozenset[str]
-    factors: dict[str, Factor]
+    factors: dict[str, WeightFactor]
     trials: tuple[Trial, ...]
     version: int
     until: float
@@ -93,84 +93,90 @@
         return None
 
 
-def make(
+def compute(
     service: str,
-    known: upstream_index.Known,
+    index: upstream_index.UpstreamIndex,
     data_centre: str,
     leases: typing.Mapping[str, node_leases.Lease],
-    own: typing.Collection[str],
+    locally_ejected: typing.Collection[str],
     now: float,
-) -> View:
+) -> EffectiveState:
     """Work out the view of one service.
 
     :param data_centre: of this node.
     :param leases: what coordinators granted.
     :param own: ids that this node ejects by itself.
     """
-    config = known.service(service)
-    upstreams = tuple(known.table(service).values())
-    mine = {
+    config = index.service(service)
+    upstreams = tuple(index.by_id(service).values())
+    applicable = {
         name: lease.entry
         for name, lease in leases.items()
         if lease.until > now and lease.entry.data_centre in ('', data_centre)
     }
     returning = {
         name
-        for name, entry in mine.items()
+        for name, entry in applicable.items()
         if entry.kind == messages.RETURNING
     }
 
-    def able(upstream) -> bool:
+    def usable(upstream) -> bool:
         # One that is coming back is not yet capacity: a second loss right
         # after its return must not find the floor spent already.
-        return upstream.id not in returning and known.able(upstream)
+        return upstream.id not in returning and index.usable(upstream)
 
-    wanted = [*_order(mine), *sorted(own)]
-    allowed = floor.clamp(config, upstreams, wanted, able)
-    left = floor.measure(config, upstreams, allowed, able)
-    invariants.check(invariants.FLOOR, not allowed or left.spare >= 0, service)
-    tuning = tunings.of(config)
+    wanted = [*_by_severity(applicable), *sorted(locally_ejected)]
+    allowed = floor.clamp(config, upstreams, wanted, usable)
+    capacity = floor.measure(config, upstreams, allowed, usable)
+    invariants.check(
+        invariants.FLOOR, not allowed or capacity.spare >= 0, service
+    )
+    tuning = tunings.for_service(config)
     factors = {
         name: _factor(entry, name in allowed, leases[name].until, tuning)
-        for name, entry in mine.items()
+        for name, entry in applicable.items()
     }
     trials = tuple(
-        Trial(name, entry.trial / 1e6)
-        for name, entry in sorted(mine.items())
-        if entry.trial
+        Trial(name, entry.copy_chance / 1e6)
+        for name, entry in sorted(applicable.items())
+        if entry.copy_chance
     )
-    ends = [leases[name].until for name in mine]
+    ends = [leases[name].until for name in applicable]
     ejected = frozenset(
         name
         for name in allowed
-        if name in own or mine[name].kind == messages.EJECTED
+        if name in locally_ejected or applicable[name].kind == messages.EJECTED
+    )
+    until = min([now + REFRESH_INTERVAL_S, *ends])
+    return EffectiveState(
+        ejected, factors, trials, index.version(service), until
     )
-    until = min([now + REFRESH_S, *ends])
-    return View(ejected, factors, trials, known.version(service), until)
 
 
-def _order(mine: dict[str, messages.Entry]) -> list[str]:
+def _by_severity(applicable: dict[str, messages.Entry]) -> list[str]:
     """Return the ids that are to get no work, the worst first."""
-    taken = [
+    removed = [
         entry
-        for entry in mine.values()
+        for entry in applicable.values()
         if entry.customer_class < 0
-        and entry.kind in (messages.EJECTED, messages.HELD)
-        and entry.weight < OUT_MILLI
+        and entry.kind in (messages.EJECTED, messages.SUSPECTED)
+        and entry.weight < OUT_OF_SERVICE_MILLI
     ]
     # Ejections go before suspicions.
-    taken.sort(key=lambda one: (-one.kind, -one.severity, one.upstream))
-    return [entry.upstream for entry in taken]
+    removed.sort(key=lambda one: (-one.kind, -one.severity, one.upstream))
+    return [entry.upstream for entry in removed]
 
 
 def _factor(
     entry: messages.Entry, allowed: bool, until: float, tuning: tunings.Tuning
-) -> Factor:
+) -> WeightFactor:
     if entry.kind == messages.RETURNING:
-        return Factor(LEAST_WEIGHT, -1, 0.0, until, tuning.slow_start_s)
-    weight, share = entry.weight / 1000, entry.trickle / 1000
+        return WeightFactor(MIN_WEIGHT, -1, 0.0, until, tuning.slow_start_s)
+    weight, full_share = entry.weight / 1000, entry.test_share / 1000
     if entry.customer_class >= 0:
-        return Factor(max(weight, LEAST_WEIGHT), entry.customer_class, share)
-    if entry.weight < OUT_MILLI and not allowed:
+        return WeightFactor(
+            max(weight, MIN_WEIGHT), entry.customer_class, full_share
+        )
+    if entry.weight < OUT_OF_SERVICE_MILLI and not allowed:
         weight = CLAMPED_WEIGHT
-    return Factor(weight, -1, share)
+    return WeightFactor(weight, -1, full_share)
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -19,11 +19,11 @@
 from carawaystair import timeline as timelines
 
 # Bad attempts that come together travel together, seconds.
-GATHER_S = 0.004
-PATH_TOLD_S = 30.0
+BATCH_DELAY_S = 0.004
+PATH_EVENT_INTERVAL_S = 30.0
 
 # Outcomes other than good answers, as categories of a report.
-CATEGORIES = {
+OUTCOME_CATEGORIES = {
     interfaces.ERROR: levels.ERROR,
     interfaces.TIMEOUT: levels.BROKEN,
     interfaces.BROKEN: levels.BROKEN,
@@ -31,18 +31,18 @@
     interfaces.SILENT: levels.SILENT,
 }
 FAILED = frozenset((levels.ERROR, levels.BROKEN))
-PATH_BAD = frozenset((levels.LATE, levels.OVERDUE, levels.BROKEN))
+PATH_FAILURES = frozenset((levels.LATE, levels.OVERDUE, levels.BROKEN))
 
-Tell = typing.Callable[[messages.Report], None]
-Make = typing.Callable[[str], detectors.Detector]
+SendReport = typing.Callable[[messages.Report], None]
+MakeDetector = typing.Callable[[str], detectors.Detector]
 
 
 class Evidence:
     """Keeps ``interfaces.Evidence``.
 
     :param health: this node's health of upstreams.
-    :param tell: sends a report to the coordinator of its service.
-    :param make: makes the detector of a service.
+    :param send_report: sends a report to the coordinator of its service.
+    :param make_detector: makes the detector of a service.
     :param timeline: takes events.
     :param rng: source of randomness.
     """
@@ -50,30 +50,30 @@
     def __init__(
         self,
         health: healths.Health,
-        tell: Tell,
-        make: Make,
+        send_report: SendReport,
+        make_detector: MakeDetector,
         timeline: timelines.Timeline,
         rng: random.Random,
     ) -> None:
         self.health = health
-        self.tell = tell
-        self.make = make
+        self.send_report = send_report
+        self.make_detector = make_detector
         self.timeline = timeline
         self.rng = rng
-        self.watch = in_flight.Watch()
-        self.reporter = report_outbox.Reporter(rng, 0.0)
-        self.path = local_path.Path()
-        self.path_told = -PATH_TOLD_S
+        self.in_flight = in_flight.InFlight()
+        self.outboxes = report_outbox.Outboxes(rng, 0.0)
+        self.local_path = local_path.LocalPath()
+        self.path_reported_at = -PATH_EVENT_INTERVAL_S
         # By service: the detector's name and whether it is pooled.
-        self.pooled: dict[str, tuple[str, bool]] = {}
+        self.detector_modes: dict[str, tuple[str, bool]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        health.known.callbacks.append(self.renew)
+        health.index.restart_callbacks.append(self.on_restart)
 
-    def renew(self, upstream: interfaces.Upstream) -> None:
-        """Tell nothing more of the former life of an upstream."""
-        outbox = self.reporter.outboxes.get(upstream.service)
+    def on_restart(self, upstream: interfaces.Upstream) -> None:
+        """SendReport nothing more of the former life of an upstream."""
+        outbox = self.outboxes.by_service.get(upstream.service)
         if outbox is not None:
-            outbox.drop(upstream.id)
+            outbox.drop_upstream(upstream.id)
 
     def begin(
         self,
@@ -85,63 +85,65 @@
         fresh: bool = True,
     ) -> None:
         """Take note that an attempt starts."""
-        outbox = self.reporter.outbox(service, started)
-        bounds = outbox.bounds.get(levels.short(route))
-        pending = in_flight.Pending(
+        outbox = self.outboxes.outbox(service, started)
+        bounds = outbox.bounds.get(levels.short_id(route))
+        pending = in_flight.PendingAttempt(
             service,
             upstream,
             levels.customer_class(customer),
             bounds,
             fresh,
             started,
-            self.watch.paused,
+            self.in_flight.paused_s,
         )
-        self.watch.begin(pending)
+        self.in_flight.begin(pending)
 
     def record(self, attempt: interfaces.Attempt) -> None:
         """Take note of one attempt that ended."""
         now = clock.now()
-        pending = self.watch.end(attempt.upstream, attempt.started)
+        pending = self.in_flight.end(attempt.upstream, attempt.started)
         outcome = attempt.outcome
         if outcome == interfaces.CANCELLED:
             return
-        if self.health.known.former(attempt.upstream, attempt.started):
+        if self.health.index.from_earlier_incarnation(
+            attempt.upstream, attempt.started
+        ):
             # What a life that is over did says nothing of the next one.
             return
         if outcome == interfaces.SHED:
-            factor = local_weights.FACTORS[outcome]
+            factor = local_weights.OUTCOME_FACTORS[outcome]
             self.health.weights.lower(attempt.upstream, factor, now)
             return
-        paused = self.watch.pause(pending, now)
-        latency_s = max(attempt.latency_s - paused, 0.0)
-        outbox = self.reporter.outbox(attempt.service, now)
-        route = levels.short(attempt.route)
+        paused_s = self.in_flight.paused_during(pending, now)
+        latency_s = max(attempt.latency_s - paused_s, 0.0)
+        outbox = self.outboxes.outbox(attempt.service, now)
+        route = levels.short_id(attempt.route)
         bounds = pending.bounds if pending else outbox.bounds.get(route)
         category = _category(outcome, bounds, latency_s)
         if outcome == interfaces.GOOD:
-            outbox.sample(route, attempt.upstream, latency_s, self.rng)
+            outbox.add_sample(route, attempt.upstream, latency_s, self.rng)
         customer_class = levels.customer_class(attempt.customer)
-        if outcome == interfaces.SILENT and pending and pending.flagged:
+        if outcome == interfaces.SILENT and pending and pending.reported_level:
             # The connection was at fault; the upstream gets its share back.
-            self.health.weights.forget(attempt.upstream)
-        self._local(attempt, category, now)
-        if not self._pooled(attempt.service):
+            self.health.weights.reset(attempt.upstream)
+        self._react_locally(attempt, category, now)
+        if not self._uses_pooled_evidence(attempt.service):
             return
-        if pending is not None and pending.flagged:
-            before = _flag(pending, pending.flagged)
-            outbox.count(attempt.upstream, customer_class, before, -1)
+        if pending is not None and pending.reported_level:
+            before = _overdue_category(pending, pending.reported_level)
+            outbox.add(attempt.upstream, customer_class, before, -1)
         if category is None:
             return
-        cell = outbox.count(attempt.upstream, customer_class, category, 1)
+        cell = outbox.add(attempt.upstream, customer_class, category, 1)
         lease = self.health.lease(attempt.service, attempt.upstream)
-        tried = lease is not None and lease.since <= attempt.started
-        if tried and outcome == interfaces.GOOD:
+        tested = lease is not None and lease.since <= attempt.started
+        if tested and outcome == interfaces.GOOD:
             cell[-1] += 1
         urgent = category in FAILED or (
             outbox.urgent_level <= category < levels.LEVELS
         )
-        if urgent or tried:
-            self._hurry(outbox)
+        if urgent or tested:
+            self._schedule_flush(outbox)
 
     def record_health_hint(
         self, service: str, upstream: str, ill: bool
@@ -151,41 +153,46 @@
         It raises suspicion a little or speeds a return; it never clears an
         upstream that fails real work.
         """
-        outbox = self.reporter.outbox(service, clock.now())
-        category = levels.ILL if ill else levels.WELL
-        outbox.count(upstream, 0, category, 1)
+        outbox = self.outboxes.outbox(service, clock.now())
+        category = levels.REPORTED_ILL if ill else levels.REPORTED_WELL
+        outbox.add(upstream, 0, category, 1)
 
-    def take_pace(self, pace: messages.Pace) -> None:
+    def apply_pace(self, pace: messages.Pace) -> None:
         """Follow the pace that a coordinator sets."""
-        outbox = self.reporter.outboxes.get(pace.service)
+        outbox = self.outboxes.by_service.get(pace.service)
         if outbox is not None:
-            outbox.take_pace(pace)
+            outbox.apply_pace(pace)
 
     def tick(self, now: float) -> None:
         """Look for overdue answers and send what is due."""
-        for overdue in self.watch.tick(now):
+        for overdue in self.in_flight.tick(now):
             self._overdue(overdue, now)
-        if self.path.tick(now) and now - self.path_told >= PATH_TOLD_S:
-            self.path_told = now
+        if (
+            self.local_path.tick(now)
+            and now - self.path_reported_at >= PATH_EVENT_INTERVAL_S
+        ):
+            self.path_reported_at = now
             text = 'Nearly all upstreams look bad from this node.'
             self.timeline.record('path-suspected', text)
         self._flush()
 
     def sweep(self, now: float) -> None:
         """Forget what is over."""
-        self.watch.forget(now)
-        self.reporter.forget(now)
-        self.pooled.clear()
+        self.in_flight.remove_old(now)
+        self.outboxes.remove_idle(now)
+        self.detector_modes.clear()
 
-    def _overdue(self, overdue: in_flight.Overdue, now: float) -> None:
+    def _overdue(self, overdue: in_flight.PassedBound, now: float) -> None:
         pending = overdue.pending
-        if self.health.known.former(pending.upstream, pending.started):
+        if self.health.index.from_earlier_incarnation(
+            pending.upstream, pending.started
+        ):
             return
-        outbox = self.reporter.outbox(pending.service, now)
-        category = _flag(pending, overdue.level)
-        before = _flag(pending, overdue.before)
-        if category in PATH_BAD:
-            self.path.note(pending.upstream, True, now)
+        outbox = self.outboxes.outbox(pending.service, now)
+        category = _overdue_category(pending, overdue.level)
+        before = _overdue_category(pending, overdue.reported_level)
+        if category in PATH_FAILURES:
+            self.local_path.add(pending.upstream, True, now)
         if overdue.level >= levels.LATE:
             late = overdue.level == levels.LATE
             factor = (
@@ -196,37 +203,39 @@
             if not pending.fresh:
                 factor = local_weights.UNPROVEN_FACTOR
             self.health.weights.lower(pending.upstream, factor, now)
-        if category == before or not self._pooled(pending.service):
+        if category == before or not self._uses_pooled_evidence(
+            pending.service
+        ):
             return
-        if overdue.before:
-            outbox.count(pending.upstream, pending.customer_class, before, -1)
-        outbox.count(pending.upstream, pending.customer_class, category, 1)
+        if overdue.reported_level:
+            outbox.add(pending.upstream, pending.customer_class, before, -1)
+        outbox.add(pending.upstream, pending.customer_class, category, 1)
         if overdue.level >= outbox.urgent_level:
-            self._hurry(outbox)
+            self._schedule_flush(outbox)
 
-    def _local(self, attempt, category, now) -> None:
+    def _react_locally(self, attempt, category, now) -> None:
         """Let this node react by itself."""
         bad = attempt.outcome != interfaces.GOOD
-        factor = local_weights.FACTORS.get(attempt.outcome)
+        factor = local_weights.OUTCOME_FACTORS.get(attempt.outcome)
         if factor is not None:
             self.health.weights.lower(attempt.upstream, factor, now)
         elif not bad and category is not None:
             if category < levels.LATE or category == levels.UNRATED:
-                self.health.weights.raise_(attempt.upstream, now)
+                self.health.weights.restore(attempt.upstream, now)
         if attempt.outcome != interfaces.SILENT:
-            path_bad = category in PATH_BAD
-            self.path.note(attempt.upstream, path_bad, now)
-            if not self._pooled(attempt.service):
-                self._own(attempt, bad, now)
+            path_bad = category in PATH_FAILURES
+            self.local_path.add(attempt.upstream, path_bad, now)
+            if not self._uses_pooled_evidence(attempt.service):
+                self._observe_locally(attempt, bad, now)
 
-    def _own(self, attempt, bad, now) -> None:
+    def _observe_locally(self, attempt, bad, now) -> None:
         service = attempt.service
-        own = self.health.owns.get(service)
+        own = self.health.local_ejections.get(service)
         if own is None:
-            own = self.health.owns[service] = local_ejections.Own(
-                self.make(service)
+            own = self.health.local_ejections[service] = (
+                local_ejections.LocalEjections(self.make_detector(service))
             )
-        tuning = tunings.of(self.health.known.service(service))
+        tuning = tunings.for_service(self.health.index.service(service))
         if own.observe(attempt.upstream, bad, tuning, now):
             self.health.refresh(service)
             self.timeline.record(
@@ -236,33 +245,36 @@
                 upstream=attempt.upstream,
             )
 
-    def _pooled(self, service: str) -> bool:
-        """Tell whether the detector of a service wants pooled evidence."""
-        known = self.pooled.get(service)
-        if known is None:
-            name = self.health.known.service(service).detector
-            known = self.pooled[service] = (name, self.make(service).pooled)
-            if known[1]:
-                self.health.owns.pop(service, None)
-        return known[1]
+    def _uses_pooled_evidence(self, service: str) -> bool:
+        """Return whether the detector of a service wants pooled evidence."""
+        mode = self.detector_modes.get(service)
+        if mode is None:
+            name = self.health.index.service(service).detector
+            mode = self.detector_modes[service] = (
+                name,
+                self.make_detector(service).pooled,
+            )
+            if mode[1]:
+                self.health.local_ejections.pop(service, None)
+        return mode[1]
 
-    def _hurry(self, outbox: report_outbox.Outbox) -> None:
+    def _schedule_flush(self, outbox: report_outbox.Outbox) -> None:
         outbox.urgent = True
         if self.timer is None:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(GATHER_S, self._flush)
+            self.timer = loop.call_later(BATCH_DELAY_S, self._flush)
 
     def _flush(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         now = clock.now()
-        for outbox in self.reporter.ready(now):
+        for outbox in self.outboxes.take_due(now):
             self._send(outbox, now)
 
     def _send(self, outbox: report_outbox.Outbox, now: float) -> None:
-        batch = outbox.take(self.rng, now)
-        epoch, digest = self.health.summary(outbox.service)
+        batch = outbox.take_batch(self.rng, now)
+        epoch, digest = self.health.epoch_and_digest(outbox.service)
         samples = batch.samples
         for cells in batch.chunks():
             report = messages.Report(
@@ -272,17 +284,17 @@
                 epoch,
                 digest,
                 outbox.version,
-                self.health.copies(outbox.service, now),
-                self.path.suspect,
+                self.health.offers_copies(outbox.service, now),
+                self.local_path.suspected,
                 batch.share,
                 cells,
                 samples,
             )
             samples = ()
-            self.tell(report)
+            self.send_report(report)
 
 
-def _flag(pending: in_flight.Pending, level: int) -> int:
+def _overdue_category(pending: in_flight.PendingAttempt, level: int) -> int:
     """Return the category of an answer that is overdue."""
     if level and not pending.fresh:
         return levels.unproven(level)
@@ -302,4 +314,4 @@
         # A caller in a hurry says nothing of the upstream.
         short = level if level >= levels.SLOW else None
         return levels.BROKEN if level == levels.OVERDUE else short
-    return CATEGORIES[outcome]
+    return OUTCOME_CATEGORIES[outcome]
--- a/carawaystair/outlier/evidence_pool.py
+++ b/carawaystair/outlier/evidence_pool.py
@@ -17,9 +17,9 @@
 
 # Shares before anything is known weigh as much as so many attempts; a class
 # of customers is taken as the average until it has as many of its own.
-PRIOR = 50.0
-CLASS_PRIOR = 20.0
-USUAL_FAILURES = 0.001
+PRIOR_ATTEMPTS = 50.0
+CLASS_PRIOR_ATTEMPTS = 20.0
+USUAL_FAILURE_SHARE = 0.001
 FAILED = frozenset(
     (
         levels.LATE,
@@ -31,10 +31,10 @@
     )
 )
 # No share is taken as rarer: the score of a failure is 8.6 at most.
-LEAST_SHARE = 0.0005
+MIN_SHARE = 0.0005
 
 
-class Pool:
+class EvidencePool:
     """The pooled evidence of one service.
 
     :param now: monotonic time.
@@ -42,10 +42,10 @@
 
     def __init__(self, now: float) -> None:
         self.began = now
-        self.scale = level_counts.Scale(now)
-        self.total = level_counts.table()
+        self.scale = level_counts.DecayScale(now)
+        self.total = level_counts.empty_table()
         self.tables: dict[str, array.array] = {}
-        self.recent = recent_scores.Recent()
+        self.recent = recent_scores.RecentScores()
         self.excluded: set[str] = set()
 
     def add(
@@ -67,7 +67,7 @@
         unit = self._unit(now)
         table = self.tables.get(upstream)
         if table is None:
-            table = self.tables[upstream] = level_counts.table()
+            table = self.tables[upstream] = level_counts.empty_table()
         score = self._score(upstream, customer_class, category, unit)
         level_counts.add(table, customer_class, category, count * unit)
         if upstream not in self.excluded:
@@ -76,9 +76,9 @@
             )
         if category == levels.UNRATED:
             return None
-        usual = self.recent.usual(upstream, now)
+        typical = self.recent.typical_score(upstream, now)
         self.recent.add(upstream, count, score, category in FAILED, now)
-        return score / usual
+        return score / typical
 
     def exclude(self, upstream: str) -> None:
         """Leave an upstream out of what siblings are compared with."""
@@ -94,28 +94,30 @@
             self.excluded.discard(upstream)
             self.tables.pop(upstream, None)
 
-    def forget(self, upstream: str) -> None:
+    def remove(self, upstream: str) -> None:
         """Drop an upstream that is gone."""
         self.exclude(upstream)
         self.include(upstream)
-        self.recent.forget(upstream)
+        self.recent.remove(upstream)
 
     def rate(self, now: float) -> float:
         """Return attempts a second of the upstreams not excluded."""
         attempts = self.total[
-            level_counts.ALL * level_counts.WIDTH + level_counts.ATTEMPTS
+            level_counts.ALL_CLASSES * level_counts.WIDTH
+            + level_counts.ATTEMPTS
         ]
         # The sum of a decaying memory that began a while ago.
         age = max(now - self.began, 1.0)
-        memory = level_counts.MEMORY_S * -math.expm1(
-            -age / level_counts.MEMORY_S
+        memory = level_counts.DECAY_S * -math.expm1(
+            -age / level_counts.DECAY_S
         )
         return attempts / self.scale.unit(now) / memory
 
     def class_share(self, customer_class: int) -> float:
         """Return the share of attempts of a class of customers."""
         whole = self.total[
-            level_counts.ALL * level_counts.WIDTH + level_counts.ATTEMPTS
+            level_counts.ALL_CLASSES * level_counts.WIDTH
+            + level_counts.ATTEMPTS
         ]
         part = self.total[
             customer_class * level_counts.WIDTH + level_counts.ATTEMPTS
@@ -128,7 +130,7 @@
             return unit
         for table in (self.total, *self.tables.values()):
             level_counts.scale(table, 1.0 / unit)
-        self.scale = level_counts.Scale(now)
+        self.scale = level_counts.DecayScale(now)
         return 1.0
 
     def _score(self, upstream, customer_class, category, unit) -> float:
@@ -138,8 +140,8 @@
         def share(column: int, whole: int, usual: float) -> float:
             found = usual
             for row, prior in (
-                (level_counts.ALL, PRIOR),
-                (customer_class, CLASS_PRIOR),
+                (level_counts.ALL_CLASSES, PRIOR_ATTEMPTS),
+                (customer_class, CLASS_PRIOR_ATTEMPTS),
             ):
                 start = row * level_counts.WIDTH
                 part = self.total[start + column]
@@ -151,18 +153,22 @@
                 found = (max(part, 0.0) + weight * found) / (
                     max(full, 0.0) + weight
                 )
-            return max(found, LEAST_SHARE)
+            return max(found, MIN_SHARE)
 
         if category == levels.ERROR:
-            return detectors.score(
+            return detectors.mean_score(
                 share(
-                    level_counts.ERRORS, level_counts.ATTEMPTS, USUAL_FAILURES
+                    level_counts.ERRORS,
+                    level_counts.ATTEMPTS,
+                    USUAL_FAILURE_SHARE,
                 )
             )
         if category == levels.BROKEN:
-            return detectors.score(
+            return detectors.mean_score(
                 share(
-                    level_counts.BROKENS, level_counts.ATTEMPTS, USUAL_FAILURES
+                    level_counts.NO_ANSWER,
+                    level_counts.ATTEMPTS,
+                    USUAL_FAILURE_SHARE,
                 )
             )
         if category == levels.UNRATED:
@@ -170,6 +176,6 @@
         if category >= levels.UNPROVEN:
             category = levels.proven(category)
         reached = range(category, min(category + 2, levels.LEVELS))
-        return detectors.score(
+        return detectors.mean_score(
             *(share(one, 0, levels.USUAL_TAILS[one]) for one in reached)
         )
--- a/carawaystair/outlier/floor.py
+++ b/carawaystair/outlier/floor.py
@@ -8,7 +8,7 @@
 Upstreams = typing.Iterable[interfaces.Upstream]
 # Tells whether an upstream is capacity while it is not ejected: up, warmed,
 # not draining.
-Able = typing.Callable[[interfaces.Upstream], bool]
+Usable = typing.Callable[[interfaces.Upstream], bool]
 
 
 class Capacity(typing.NamedTuple):
@@ -42,7 +42,7 @@
     service: manifest.Service,
     upstreams: Upstreams,
     ejected: typing.Container[str],
-    able: Able,
+    usable: Usable,
 ) -> Capacity:
     """Return the capacity that is left when ``ejected`` get no work."""
     upstreams = tuple(upstreams)
@@ -50,7 +50,7 @@
     healthy = sum(
         upstream.slots
         for upstream in upstreams
-        if upstream.id not in ejected and able(upstream)
+        if upstream.id not in ejected and usable(upstream)
     )
     return Capacity(known, healthy, required_slots(service, known))
 
@@ -59,7 +59,7 @@
     service: manifest.Service,
     upstreams: Upstreams,
     wanted: typing.Iterable[str],
-    able: Able,
+    usable: Usable,
 ) -> frozenset[str]:
     """Return the part of ``wanted`` that the floor allows.
 
@@ -69,7 +69,7 @@
         a loss of hosts, nothing is ejected at all.
     """
     by_id = {upstream.id: upstream for upstream in upstreams}
-    spare = measure(service, by_id.values(), (), able).spare
+    spare = measure(service, by_id.values(), (), usable).spare
     if spare < 0:
         return frozenset()
     allowed = set()
@@ -77,7 +77,7 @@
         upstream = by_id.get(name)
         if upstream is None or name in allowed:
             continue
-        cost = upstream.slots if able(upstream) else 0
+        cost = upstream.slots if usable(upstream) else 0
         if cost <= spare:
             spare -= cost
             allowed.add(name)
--- a/carawaystair/outlier/health.py
+++ b/carawaystair/outlier/health.py
@@ -1,4 +1,4 @@
-"""What a node makes of upstreams' health, own and told."""
+"""What a node makes of upstreams' health, ejections and told."""
 
 import random
 
@@ -27,42 +27,42 @@
     def __init__(
         self,
         me: interfaces.Member,
-        known: upstream_index.Known,
+        index: upstream_index.UpstreamIndex,
         rng: random.Random,
     ) -> None:
         self.me = me
-        self.known = known
+        self.index = index
         self.rng = rng
-        self.weights = local_weights.Weights()
-        self.holdings: dict[str, node_leases.Holding] = {}
+        self.weights = local_weights.LocalWeights()
+        self.leases: dict[str, node_leases.NodeLeases] = {}
         # Ejections of this node alone, for detectors that are not pooled.
-        self.owns: dict[str, local_ejections.Own] = {}
-        self.views: dict[str, effective_state.View] = {}
-        self.factors: dict[str, effective_state.Factor] = {}
-        self.asked: dict[str, float] = {}
-        known.callbacks.append(self.renew)
+        self.local_ejections: dict[str, local_ejections.LocalEjections] = {}
+        self.effective: dict[str, effective_state.EffectiveState] = {}
+        self.factors: dict[str, effective_state.WeightFactor] = {}
+        self.trial_asked_at: dict[str, float] = {}
+        index.restart_callbacks.append(self.on_restart)
 
-    def renew(self, upstream: interfaces.Upstream) -> None:
+    def on_restart(self, upstream: interfaces.Upstream) -> None:
         """Hold nothing against an upstream that has started again.
 
         Its coordinator does so as well, as soon as it knows of that.
         """
         name, service = upstream.id, upstream.service
-        self.weights.forget(name)
-        holding = self.holdings.get(service)
-        if holding is not None:
-            holding.leases.pop(name, None)
-        own = self.owns.get(service)
-        if own is not None:
-            own.renew(name)
-        if service in self.views:
+        self.weights.reset(name)
+        held = self.leases.get(service)
+        if held is not None:
+            held.leases.pop(name, None)
+        ejections = self.local_ejections.get(service)
+        if ejections is not None:
+            ejections.reset(name)
+        if service in self.effective:
             self.refresh(service)
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return ids that get no new work, after this node's own clamp."""
-        if service not in self.views:
+        if service not in self.effective:
             return NOTHING
-        return self._view(service).ejected
+        return self._effective(service).ejected
 
     def weight(self, upstream: str, customer: str = '') -> float:
         """Return a factor from 0.0 to 1.0 on the upstream's share."""
@@ -70,89 +70,89 @@
         weight = self.weights.weight(upstream, now)
         factor = self.factors.get(upstream)
         if factor is not None:
-            weight *= factor.at(customer, now, self.rng)
-        ramp = self.known.ramp(upstream)
+            weight *= factor.draw(customer, now, self.rng)
+        ramp = self.index.warmup_share(upstream)
         if ramp < 1.0 and self.rng.random() >= ramp:
-            weight *= effective_state.LEAST_WEIGHT
+            weight *= effective_state.MIN_WEIGHT
         return weight
 
     def trial(self, service: str) -> str | None:
         """Return an upstream that wants a copy of the next request."""
-        self.asked[service] = clock.now()
-        if service not in self.views:
+        self.trial_asked_at[service] = clock.now()
+        if service not in self.effective:
             return None
-        return self._view(service).trial(self.rng)
+        return self._effective(service).trial(self.rng)
 
-    def copies(self, service: str, now: float) -> bool:
+    def offers_copies(self, service: str, now: float) -> bool:
         """Tell whether the request path sends copies as trials."""
-        return now - self.asked.get(service, -COPIES_S) < COPIES_S
+        return now - self.trial_asked_at.get(service, -COPIES_S) < COPIES_S
 
     def accept(self, state: messages.State) -> bool:
         """Take the word of a coordinator.
 
-        :return: whether it was heeded.
+        :return: whether it was accepted.
         """
         now = clock.now()
-        holding = self.holdings.get(state.service)
-        if holding is None:
-            holding = self.holdings[state.service] = node_leases.Holding()
-        heeded = holding.accept(state, now)
-        if heeded:
+        held = self.leases.get(state.service)
+        if held is None:
+            held = self.leases[state.service] = node_leases.NodeLeases()
+        accepted = held.accept(state, now)
+        if accepted:
             self.refresh(state.service)
-        return heeded
+        return accepted
 
     def lease(self, service: str, upstream: str) -> node_leases.Lease | None:
         """Return what is granted for an upstream, if anything."""
-        holding = self.holdings.get(service)
-        return None if holding is None else holding.leases.get(upstream)
+        held = self.leases.get(service)
+        return None if held is None else held.leases.get(upstream)
 
-    def summary(self, service: str) -> tuple[int, int]:
+    def epoch_and_digest(self, service: str) -> tuple[int, int]:
         """Return the epoch and the digest of what is held."""
-        holding = self.holdings.get(service)
-        if holding is None:
+        held = self.leases.get(service)
+        if held is None:
             return 0, 0
-        return holding.order[0], holding.digest()
+        return held.newest_sender[0], held.digest()
 
-    def outstanding(self, service: str) -> messages.Held:
+    def outstanding_leases(self, service: str) -> messages.Held:
         """Return what is held, for a new coordinator."""
-        holding = self.holdings.get(service) or node_leases.Holding()
-        phases = holding.phases(clock.now())
-        return messages.Held(service, holding.order[0], phases)
+        held = self.leases.get(service) or node_leases.NodeLeases()
+        phases = held.phases(clock.now())
+        return messages.Held(service, held.newest_sender[0], phases)
 
-    def refresh(self, service: str) -> effective_state.View:
+    def refresh(self, service: str) -> effective_state.EffectiveState:
         """Work out the view of a service again."""
         now = clock.now()
-        holding = self.holdings.get(service)
-        if holding is not None:
-            holding.expire(now)
-        leases = {} if holding is None else holding.leases
-        own = self.owns.get(service)
-        mine = [] if own is None else own.ejected(now)
-        view = effective_state.make(
-            service, self.known, self.me.data_centre, leases, mine, now
+        held = self.leases.get(service)
+        if held is not None:
+            held.expire(now)
+        leases = {} if held is None else held.leases
+        ejections = self.local_ejections.get(service)
+        ejected_here = [] if ejections is None else ejections.ejected(now)
+        effective = effective_state.compute(
+            service, self.index, self.me.data_centre, leases, ejected_here, now
         )
-        old = self.views.get(service)
+        old = self.effective.get(service)
         if old is not None:
             for name in old.factors:
                 self.factors.pop(name, None)
-        self.factors.update(view.factors)
-        self.views[service] = view
-        if not leases and not mine:
-            del self.views[service]
-        return view
+        self.factors.update(effective.factors)
+        self.effective[service] = effective
+        if not leases and not ejected_here:
+            del self.effective[service]
+        return effective
 
     def sweep(self, now: float) -> None:
         """Forget what is over."""
         self.weights.sweep(now)
-        self.known.sweep(now)
-        for own in self.owns.values():
-            own.forget(now)
-        for service in list(self.views):
+        self.index.sweep(now)
+        for ejections in self.local_ejections.values():
+            ejections.remove_expired(now)
+        for service in list(self.effective):
             self.refresh(service)
 
-    def _view(self, service: str) -> effective_state.View:
-        view = self.views[service]
-        fresh = view.version == self.known.version(service)
-        if fresh and clock.now() < view.until:
-            return view
+    def _effective(self, service: str) -> effective_state.EffectiveState:
+        effective = self.effective[service]
+        fresh = effective.version == self.index.version(service)
+        if fresh and clock.now() < effective.until:
+            return effective
         return self.refresh(service)
--- a/carawaystair/outlier/in_flight.py
+++ b/carawaystair/outlier/in_flight.py
@@ -15,15 +15,15 @@
 # How often ages are looked at, seconds.
 TICK_S = 0.025
 # A tick this late shows a pause of the process, seconds.
-PAUSE_S = 0.02
+MIN_PAUSE_S = 0.02
 # Attempts whose end is never told are forgotten after this, seconds.
-FORGET_S = 600.0
-MAX_OPEN = 20_000
+MAX_AGE_S = 600.0
+MAX_PENDING = 20_000
 
 Key = tuple[str, float]
 
 
-class Pending:
+class PendingAttempt:
     """One attempt in flight.
 
     :param service: the service asked for.
@@ -42,8 +42,8 @@
         'bounds',
         'fresh',
         'started',
-        'paused',
-        'flagged',
+        'paused_s',
+        'reported_level',
     )
 
     def __init__(
@@ -54,7 +54,7 @@
         bounds: levels.Bounds | None,
         fresh: bool,
         started: float,
-        paused: float,
+        paused_s: float,
     ) -> None:
         self.service = service
         self.upstream = upstream
@@ -62,12 +62,12 @@
         self.bounds = bounds
         self.fresh = fresh
         self.started = started
-        self.paused = paused
+        self.paused_s = paused_s
         # The level that was reported while it still ran, or 0.
-        self.flagged = 0
+        self.reported_level = 0
 
 
-class Overdue(typing.NamedTuple):
+class PassedBound(typing.NamedTuple):
     """An attempt that passed a bound.
 
     :param pending: the attempt.
@@ -75,82 +75,86 @@
     :param level: its level now.
     """
 
-    pending: Pending
-    before: int
+    pending: PendingAttempt
+    reported_level: int
     level: int
 
 
-class Watch:
+class InFlight:
     """The attempts in flight."""
 
     def __init__(self) -> None:
-        self.open: dict[Key, Pending] = {}
-        self.due: list[tuple[float, int, Key]] = []
-        self.order = itertools.count()
-        self.paused = 0.0
+        self.pending: dict[Key, PendingAttempt] = {}
+        self.bound_times: list[tuple[float, int, Key]] = []
+        self.sequence = itertools.count()
+        self.paused_s = 0.0
         # No tick is late before the first one.
-        self.ticked = math.inf
+        self.last_tick = math.inf
 
-    def begin(self, pending: Pending) -> None:
+    def begin(self, pending: PendingAttempt) -> None:
         """Take note of a new attempt."""
-        if len(self.open) >= MAX_OPEN:
+        if len(self.pending) >= MAX_PENDING:
             return
         key = (pending.upstream, pending.started)
-        self.open[key] = pending
+        self.pending[key] = pending
         if pending.bounds is not None:
-            self._expect(pending, levels.SLOW - 1)
+            self._schedule(pending, levels.SLOW - 1)
 
-    def end(self, upstream: str, started: float) -> Pending | None:
+    def end(self, upstream: str, started: float) -> PendingAttempt | None:
         """Take an attempt out."""
-        return self.open.pop((upstream, started), None)
+        return self.pending.pop((upstream, started), None)
 
-    def pause(self, pending: Pending | None, now: float) -> float:
+    def paused_during(
+        self, pending: PendingAttempt | None, now: float
+    ) -> float:
         """Return how long this process stood still during an attempt.
 
         An answer may be handled before the tick that notices the pause, so
         the running delay of the tick counts as well.
         """
-        late = now - self.ticked - TICK_S
-        late = late if late > PAUSE_S else 0.0
-        return late + self.paused - pending.paused if pending else late
+        late = now - self.last_tick - TICK_S
+        late = late if late > MIN_PAUSE_S else 0.0
+        return late + self.paused_s - pending.paused_s if pending else late
 
-    def tick(self, now: float) -> list[Overdue]:
+    def tick(self, now: float) -> list[PassedBound]:
         """Return the attempts that passed a bound since the last tick."""
-        late = now - self.ticked - TICK_S
-        if late > PAUSE_S:
-            self.paused += late
-        self.ticked = now
+        late = now - self.last_tick - TICK_S
+        if late > MIN_PAUSE_S:
+            self.paused_s += late
+        self.last_tick = now
         found = []
-        while self.due and self.due[0][0] <= now:
-            _due, _order, key = heapq.heappop(self.due)
-            pending = self.open.get(key)
+        while self.bound_times and self.bound_times[0][0] <= now:
+            _time, _order, key = heapq.heappop(self.bound_times)
+            pending = self.pending.get(key)
             if pending is not None:
-                found.extend(self._look(pending, now))
+                found.extend(self._passed_bounds(pending, now))
         return found
 
-    def forget(self, now: float) -> None:
+    def remove_old(self, now: float) -> None:
         """Drop attempts whose end was never told."""
         old = [
             key
-            for key, pending in self.open.items()
-            if now - pending.started > FORGET_S
+            for key, pending in self.pending.items()
+            if now - pending.started > MAX_AGE_S
         ]
         for key in old:
-            del self.open[key]
+            del self.pending[key]
 
-    def _look(self, pending: Pending, now: float):
-        age = now - pending.started - (self.paused - pending.paused)
+    def _passed_bounds(self, pending: PendingAttempt, now: float):
+        age = now - pending.started - (self.paused_s - pending.paused_s)
         level = levels.level(pending.bounds, age)
         if level < levels.OVERDUE:
-            self._expect(pending, max(level, levels.SLOW - 1))
-        if level >= levels.SLOW and level > pending.flagged:
-            yield Overdue(pending, pending.flagged, level)
-            pending.flagged = level
+            self._schedule(pending, max(level, levels.SLOW - 1))
+        if level >= levels.SLOW and level > pending.reported_level:
+            yield PassedBound(pending, pending.reported_level, level)
+            pending.reported_level = level
 
-    def _expect(self, pending: Pending, passed: int) -> None:
+    def _schedule(self, pending: PendingAttempt, passed: int) -> None:
         """Wake up when the attempt passes the bound number ``passed``."""
-        paused = self.paused - pending.paused
-        due = pending.started + paused + pending.bounds[passed]
+        paused_s = self.paused_s - pending.paused_s
+        bound_times = pending.started + paused_s + pending.bounds[passed]
         key = (pending.upstream, pending.started)
         # Strictly after the bound, so that the level has changed by then.
-        heapq.heappush(self.due, (due + 1e-6, next(self.order), key))
+        heapq.heappush(
+            self.bound_times, (bound_times + 1e-6, next(self.sequence), key)
+        )
--- a/carawaystair/outlier/leadership.py
+++ b/carawaystair/outlier/leadership.py
@@ -28,23 +28,23 @@
 IDLE_TICK_S = 0.25
 # Members asked that may have coordinated before, and how long each gets to
 # answer, seconds.
-PREDECESSORS = 3
-ASK_S = 0.4
-ASK_TIMES = 2
+MAX_PREDECESSORS = 3
+ASK_TIMEOUT_S = 0.4
+ASK_ATTEMPTS = 2
 # When one of them did not answer, nodes get so long to report that they hold
 # something, seconds; at most so many of them are asked.
-ALONE_S = 1.5
-MOST_ASKED = 8
+REPORT_WAIT_S = 1.5
+MAX_NODES_ASKED = 8
 # A coordinator without reports is forgotten after this, seconds.
-IDLE_S = 120.0
+IDLE_TIMEOUT_S = 120.0
 # A coordinator that hears of a higher epoch starts anew, so often at most.
-AGAIN_S = 3.0
+MIN_TAKEOVER_INTERVAL_S = 3.0
 
-Detect = typing.Callable[[str], detectors.Detector]
-Holdings = typing.Callable[[str], messages.Held]
+MakeDetector = typing.Callable[[str], detectors.Detector]
+LocalLeases = typing.Callable[[str], messages.Held]
 
 
-class Mirrored(typing.NamedTuple):
+class MirroredState(typing.NamedTuple):
     """What a coordinator told its standby.
 
     :param epoch: its epoch.
@@ -57,7 +57,7 @@
     time: float
 
 
-class Lead(mode.Service):
+class Leadership(mode.Service):
     """The coordinators of this process.
 
     :param choice: which process coordinates what.
@@ -72,213 +72,237 @@
 
     def __init__(
         self,
-        choice: placements.Choice,
-        known: upstream_index.Known,
+        placement: placements.Placement,
+        index: upstream_index.UpstreamIndex,
         links: interfaces.Transport,
         sender: coordinator_role.Sender,
-        detect: Detect,
-        holdings: Holdings,
+        make_detector: MakeDetector,
+        local_leases: LocalLeases,
         timeline: timelines.Timeline,
         rng: random.Random,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
-        self.choice = choice
-        self.known = known
+        self.placement = placement
+        self.index = index
         self.links = links
         self.sender = sender
-        self.detect = detect
-        self.holdings = holdings
+        self.make_detector = make_detector
+        self.local_leases = local_leases
         self.timeline = timeline
         self.rng = rng
-        self.seats: dict[str, coordinator_role.Seat] = {}
-        self.mirrors: dict[str, Mirrored] = {}
+        self.roles: dict[str, coordinator_role.CoordinatorRole] = {}
+        self.mirrored: dict[str, MirroredState] = {}
         self.tasks: set[asyncio.Task] = set()
-        links.handle(messages.Ask, self.answer)
+        links.handle(messages.Ask, self.answer_ask)
 
     async def on_stop(self) -> None:
         """End the questions that run."""
         for task in list(self.tasks):
             task.cancel()
 
-    def take(self, report: messages.Report, address: str) -> None:
+    def receive_report(self, report: messages.Report, address: str) -> None:
         """Take the report of a node.
 
         :param address: of the node, for datagrams.
         """
         now = clock.now()
-        seat = self._seat(report.service, now)
-        seat.coordinator.take(report, address, now)
-        if self._led(seat, report.epoch, now):
-            self._publish(seat, now)
-            seat.welcome(report, address, self.choice.alive, now)
+        role = self._role(report.service, now)
+        role.coordinator.receive_report(report, address, now)
+        if self._may_decide(role, report.epoch, now):
+            self._publish(role, now)
+            role.send_missing(report, address, self.placement.alive, now)
         elif report.digest:
-            self._ask_node(seat, report)
+            self._ask_node(role, report)
 
-    def mirror(self, message: messages.Mirror) -> None:
+    def receive_mirror(self, message: messages.Mirror) -> None:
         """Take what the coordinator tells its standby."""
-        old = self.mirrors.get(message.service)
+        old = self.mirrored.get(message.service)
         if old is not None and message.epoch < old.epoch:
             return
         phases = {phase.entry.upstream: phase for phase in message.phases}
-        if old is not None and not message.whole:
+        if old is not None and not message.complete:
             phases = old.phases | phases
-        self.mirrors[message.service] = Mirrored(
+        self.mirrored[message.service] = MirroredState(
             message.epoch, phases, clock.now()
         )
 
-    async def answer(
+    async def answer_ask(
         self, sender: str, question: messages.Ask
     ) -> messages.Held:
         """Answer a new coordinator."""
-        return self._outstanding(question.service)
+        return self._outstanding_leases(question.service)
 
     @mode.Service.task
     async def _tick(self) -> None:
         """Do what time alone brings about."""
         while not self.should_stop:
-            await asyncio.sleep(TICK_S if self.seats else IDLE_TICK_S)
+            await asyncio.sleep(TICK_S if self.roles else IDLE_TICK_S)
             now = clock.now()
-            self.choice.refresh()
-            for service in list(self.seats):
-                self._tick_seat(self.seats[service], now)
+            self.placement.refresh()
+            for service in list(self.roles):
+                self._tick_role(self.roles[service], now)
 
-    def _tick_seat(self, seat: coordinator_role.Seat, now: float) -> None:
-        coordinator = seat.coordinator
-        if now - coordinator.heard > IDLE_S and not coordinator.ledger.held():
-            del self.seats[coordinator.service]
+    def _tick_role(
+        self, role: coordinator_role.CoordinatorRole, now: float
+    ) -> None:
+        coordinator = role.coordinator
+        if (
+            now - coordinator.last_report_at > IDLE_TIMEOUT_S
+            and not coordinator.store.unhealthy()
+        ):
+            del self.roles[coordinator.service]
             return
-        if not self._led(seat, 0, now):
+        if not self._may_decide(role, 0, now):
             return
         coordinator.tick(now)
-        seat.pacer.look(
+        role.pacer.update(
             coordinator.routes,
             coordinator.reporters,
             coordinator.pool.rate(now),
-            coordinator.tuning().least_s,
+            coordinator.tuning().min_latency_s,
             now,
         )
-        self._publish(seat, now)
-        seat.renew(self.choice.alive, TICK_S, now)
-        if now - seat.mirrored >= coordinator_role.MIRROR_EVERY_S:
-            standby = self.choice.of(coordinator.service).standby
-            seat.mirror(self.choice.alive, standby, now)
+        self._publish(role, now)
+        role.renew_leases(self.placement.alive, TICK_S, now)
+        if now - role.mirrored_at >= coordinator_role.MIRROR_INTERVAL_S:
+            standby = self.placement.assignment(coordinator.service).standby
+            role.send_mirror(self.placement.alive, standby, now)
 
-    def _seat(self, service: str, now: float) -> coordinator_role.Seat:
-        seat = self.seats.get(service)
-        if seat is None:
+    def _role(
+        self, service: str, now: float
+    ) -> coordinator_role.CoordinatorRole:
+        role = self.roles.get(service)
+        if role is None:
             coordinator = coordinators.Coordinator(
-                service, self.known, self.detect(service), self.rng, now
+                service, self.index, self.make_detector(service), self.rng, now
+            )
+            me = self.placement.members.me
+            role = coordinator_role.CoordinatorRole(
+                me, coordinator, self.sender, now
             )
-            me = self.choice.members.me
-            seat = coordinator_role.Seat(me, coordinator, self.sender, now)
-            self.seats[service] = seat
-        return seat
+            self.roles[service] = role
+        return role
 
-    def _led(
-        self, seat: coordinator_role.Seat, epoch: int, now: float
+    def _may_decide(
+        self, role: coordinator_role.CoordinatorRole, epoch: int, now: float
     ) -> bool:
         """Tell whether this process may decide on a service just now.
 
         :param epoch: that a node has heard of.
         """
-        mine = self.choice.mine(seat.coordinator.service)
+        mine = self.placement.coordinates_here(role.coordinator.service)
         if not mine:
-            seat.leading = seat.coordinator.settled = False
+            role.leading = role.coordinator.takeover_done = False
             return False
         # After a partition a node may hold leases of another coordinator
         # with a higher epoch and heed nothing from this one.
-        overtaken = epoch > seat.epoch and now - seat.taken > AGAIN_S
-        if not seat.leading or (overtaken and seat.coordinator.settled):
-            seat.leading, seat.taken = True, now
-            seat.coordinator.settled = False
-            seat.epoch = max(seat.epoch, epoch)
-            self._spawn(self._take_over(seat))
-        return seat.coordinator.settled
+        overtaken = (
+            epoch > role.epoch
+            and now - role.takeover_at > MIN_TAKEOVER_INTERVAL_S
+        )
+        if not role.leading or (overtaken and role.coordinator.takeover_done):
+            role.leading, role.takeover_at = True, now
+            role.coordinator.takeover_done = False
+            role.epoch = max(role.epoch, epoch)
+            self._start_task(self._take_over(role))
+        return role.coordinator.takeover_done
 
-    async def _take_over(self, seat: coordinator_role.Seat) -> None:
+    async def _take_over(self, role: coordinator_role.CoordinatorRole) -> None:
         """Learn what is outstanding, then start a new epoch."""
-        service = seat.coordinator.service
-        seat.asked.clear()
-        self._adopt(seat, self._outstanding(service))
-        near = self.choice.near(service, PREDECESSORS)
-        asked = [self._ask(seat, member.peer) for member in near]
-        answered = await asyncio.gather(*asked)
+        service = role.coordinator.service
+        role.asked_nodes.clear()
+        self._adopt(role, self._outstanding_leases(service))
+        possible = self.placement.possible_predecessors(
+            service, MAX_PREDECESSORS
+        )
+        asks = [self._ask(role, member.peer) for member in possible]
+        answered = await asyncio.gather(*asks)
         if not all(answered):
-            await asyncio.sleep(ALONE_S)
-        if not seat.leading:
+            await asyncio.sleep(REPORT_WAIT_S)
+        if not role.leading:
             return
         now = clock.now()
-        seat.epoch += 1
-        seat.coordinator.settled = True
-        held = seat.coordinator.ledger.held()
-        text = 'Epoch %d with %d outstanding.' % (seat.epoch, len(held))
+        role.epoch += 1
+        role.coordinator.takeover_done = True
+        held = role.coordinator.store.unhealthy()
+        text = 'Epoch %d with %d outstanding.' % (role.epoch, len(held))
         self.timeline.record('coordinator-took-over', text, service=service)
-        reporters = seat.coordinator.reporters.addresses()
-        self.sender.send(reporters, seat.states(self.choice.alive, now))
-        self._publish(seat, now)
+        reporters = role.coordinator.reporters.addresses()
+        self.sender.send(reporters, role.full_state(self.placement.alive, now))
+        self._publish(role, now)
 
-    async def _ask(self, seat: coordinator_role.Seat, peer: str) -> bool:
+    async def _ask(
+        self, role: coordinator_role.CoordinatorRole, peer: str
+    ) -> bool:
         """Ask one process, and again when it does not answer."""
-        question = messages.Ask(seat.coordinator.service)
-        for _attempt in range(ASK_TIMES):
-            answer = await self.links.call(peer, question, ASK_S)
+        question = messages.Ask(role.coordinator.service)
+        for _attempt in range(ASK_ATTEMPTS):
+            answer = await self.links.call(peer, question, ASK_TIMEOUT_S)
             if answer.is_ok():
-                self._adopt(seat, answer.ok)
+                self._adopt(role, answer.ok)
                 return True
         return False
 
     def _ask_node(
-        self, seat: coordinator_role.Seat, report: messages.Report
+        self, role: coordinator_role.CoordinatorRole, report: messages.Report
     ) -> None:
         """Ask a node that holds what a new coordinator may not know."""
-        fresh = report.host not in seat.asked
-        if not seat.leading or not fresh or len(seat.asked) >= MOST_ASKED:
+        fresh = report.host not in role.asked_nodes
+        if (
+            not role.leading
+            or not fresh
+            or len(role.asked_nodes) >= MAX_NODES_ASKED
+        ):
             return
-        seat.asked.add(report.host)
-        member = self.choice.table.get(report.host)
+        role.asked_nodes.add(report.host)
+        member = self.placement.by_host.get(report.host)
         if member is not None:
-            self._spawn(self._ask(seat, member.peer))
+            self._start_task(self._ask(role, member.peer))
 
-    def _adopt(self, seat: coordinator_role.Seat, held: messages.Held) -> None:
-        if seat.coordinator.settled:
+    def _adopt(
+        self, role: coordinator_role.CoordinatorRole, held: messages.Held
+    ) -> None:
+        if role.coordinator.takeover_done:
             return
-        seat.epoch = max(seat.epoch, held.epoch)
-        seat.coordinator.adopt(held.phases, clock.now())
+        role.epoch = max(role.epoch, held.epoch)
+        role.coordinator.adopt(held.phases, clock.now())
 
-    def _outstanding(self, service: str) -> messages.Held:
+    def _outstanding_leases(self, service: str) -> messages.Held:
         """Return what this process knows to be granted."""
         now = clock.now()
-        own = self.holdings(service)
-        found = {phase.entry.upstream: phase for phase in own.phases}
-        epoch = own.epoch
-        mirrored = self.mirrors.get(service)
-        if mirrored is not None and now - mirrored.time < IDLE_S:
+        local = self.local_leases(service)
+        found = {phase.entry.upstream: phase for phase in local.phases}
+        epoch = local.epoch
+        mirrored = self.mirrored.get(service)
+        if mirrored is not None and now - mirrored.time < IDLE_TIMEOUT_S:
             found |= mirrored.phases
             epoch = max(epoch, mirrored.epoch)
-        seat = self.seats.get(service)
-        if seat is not None and seat.epoch >= epoch:
-            phases = seat.coordinator.phases(coordinator_role.LEASE_S, now)
+        role = self.roles.get(service)
+        if role is not None and role.epoch >= epoch:
+            phases = role.coordinator.phases(coordinator_role.LEASE_S, now)
             found = {phase.entry.upstream: phase for phase in phases}
-            epoch = seat.epoch
+            epoch = role.epoch
         ordered = tuple(phase for _name, phase in sorted(found.items()))
         return messages.Held(service, epoch, ordered)
 
-    def _publish(self, seat: coordinator_role.Seat, now: float) -> None:
-        service = seat.coordinator.service
-        ledger = seat.coordinator.ledger
-        for event in ledger.events:
+    def _publish(
+        self, role: coordinator_role.CoordinatorRole, now: float
+    ) -> None:
+        service = role.coordinator.service
+        store = role.coordinator.store
+        for event in store.events:
             self.timeline.record(
                 event.kind,
                 event.text,
                 service=service,
                 upstream=event.upstream,
             )
-        ledger.events.clear()
-        standby = self.choice.of(service).standby
-        seat.publish(self.choice.alive, standby, now)
+        store.events.clear()
+        standby = self.placement.assignment(service).standby
+        role.publish(self.placement.alive, standby, now)
 
-    def _spawn(self, coroutine: typing.Coroutine) -> None:
+    def _start_task(self, coroutine: typing.Coroutine) -> None:
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/carawaystair/outlier/level_counts.py
+++ b/carawaystair/outlier/level_counts.py
@@ -11,29 +11,29 @@
 from carawaystair.outlier import levels
 
 # Attempts count for a third after this, seconds.
-MEMORY_S = 60.0
+DECAY_S = 60.0
 RESCALE = 1e9
 
 # A row: attempts at level 0 or worse, ... level 5, then server errors,
 # attempts without an answer, and attempts of any kind.
 ERRORS = levels.LEVELS
-BROKENS = ERRORS + 1
-ATTEMPTS = BROKENS + 1
+NO_ANSWER = ERRORS + 1
+ATTEMPTS = NO_ANSWER + 1
 WIDTH = ATTEMPTS + 1
 # A row for each class of customers and one for all of them.
-ALL = levels.CLASSES
+ALL_CLASSES = levels.CLASSES
 SIZE = WIDTH * (levels.CLASSES + 1)
 
 COLUMNS = {
     **{level: (*range(level + 1), ATTEMPTS) for level in range(levels.LEVELS)},
     levels.ERROR: (ERRORS, ATTEMPTS),
-    levels.BROKEN: (BROKENS, ATTEMPTS),
+    levels.BROKEN: (NO_ANSWER, ATTEMPTS),
     levels.UNRATED: (ATTEMPTS,),
     **{levels.unproven(one): (ATTEMPTS,) for one in range(levels.SLOW, 6)},
 }
 
 
-class Scale:
+class DecayScale:
     """The weight of an attempt made now, for a family of tables.
 
     :param now: monotonic time.
@@ -44,10 +44,10 @@
 
     def unit(self, now: float) -> float:
         """Return the weight of one attempt."""
-        return math.exp((now - self.zero) / MEMORY_S)
+        return math.exp((now - self.zero) / DECAY_S)
 
 
-def table() -> array.array:
+def empty_table() -> array.array:
     """Return an empty table."""
     return array.array('d', bytes(8 * SIZE))
 
@@ -56,7 +56,7 @@
     target: array.array, customer_class: int, category: int, amount: float
 ) -> None:
     """Add attempts; ``amount`` is their count times the unit."""
-    for row in (customer_class * WIDTH, ALL * WIDTH):
+    for row in (customer_class * WIDTH, ALL_CLASSES * WIDTH):
         for column in COLUMNS[category]:
             # What is taken back may have decayed less than what was added.
             target[row + column] = max(target[row + column] + amount, 0.0)
--- a/carawaystair/outlier/levels.py
+++ b/carawaystair/outlier/levels.py
@@ -26,8 +26,8 @@
 UNRATED = 9  # a good answer on a route without bounds
 # 10 to 12: slow, late and overdue on a connection that may itself be silent.
 UNPROVEN = 10
-ILL = 13  # what a health endpoint says, not an attempt
-WELL = 14
+REPORTED_ILL = 13  # what a health endpoint says, not an attempt
+REPORTED_WELL = 14
 CATEGORIES = 15
 
 # Shares of good answers at or below the measured bounds.
@@ -36,24 +36,24 @@
 USUAL_TAILS = (1.0, 0.5, 0.1, 0.01, 0.001, 0.0002)
 
 # Latencies are kept in bins a sixteenth of a doubling wide: 4.4%.
-BINS_A_DOUBLING = 16
-LEAST_S = 0.0002
-BINS = 20 * BINS_A_DOUBLING
+BINS_PER_DOUBLING = 16
+MIN_LATENCY_S = 0.0002
+BINS = 20 * BINS_PER_DOUBLING
 # A route gets bounds of its own from so many answers on.
-ENOUGH = 60
+MIN_ANSWERS = 60
 # Time after which an answer counts for a third, seconds.  Long enough for
 # the 99th percentile of a service with 40 requests a second.
-MEMORY_S = 120.0
+DECAY_S = 120.0
 # Weights grow with time instead of the past being decayed; beyond this they
 # are scaled back.
 RESCALE = 1e9
 MAX_ROUTES = 128
 # Bounds above the 99th percentile grow by the ratio of the two below, as the
 # tail of a power law does, held within these.
-LEAST_RATIO = 1.5
-GREATEST_RATIO = 4.0
+MIN_RATIO = 1.5
+MAX_RATIO = 4.0
 # From so many answers on the 99.9th percentile is measured instead.
-ENOUGH_FOR_LATE = 1500
+MIN_ANSWERS_FOR_LATE = 1500
 LATE_QUANTILE = 0.999
 
 CLASSES = 8
@@ -82,7 +82,7 @@
 
 
 @functools.lru_cache(4096)
-def short(name: str) -> int:
+def short_id(name: str) -> int:
     """Return a short number for a route's key or an upstream's id."""
     return xxhash.xxh32_intdigest(name.encode())
 
@@ -103,7 +103,7 @@
     return category - UNPROVEN + SLOW
 
 
-class Latencies:
+class LatencyHistogram:
     """Latencies of good answers of one route, the recent ones.
 
     The past decays by growing the weight of what is new (forward decay;
@@ -117,7 +117,7 @@
 
     def add(self, latency_s: float, now: float) -> None:
         """Add one latency."""
-        weight = math.exp((now - self.zero) / MEMORY_S)
+        weight = math.exp((now - self.zero) / DECAY_S)
         if weight > RESCALE:
             self.bins = array.array('d', (x / weight for x in self.bins))
             self.total /= weight
@@ -127,9 +127,9 @@
 
     def count(self, now: float) -> float:
         """Return how many answers are remembered, decayed."""
-        return self.total * math.exp((self.zero - now) / MEMORY_S)
+        return self.total * math.exp((self.zero - now) / DECAY_S)
 
-    def bounds(self, least_s: float, many: bool = False) -> Bounds:
+    def bounds(self, min_latency_s: float, many: bool = False) -> Bounds:
         """Return the bounds.
 
         :param many: whether there are enough answers to measure the rarer.
@@ -137,12 +137,12 @@
             since a pause of a node itself is no news about an upstream.
         """
         median, p90, p99 = (self.quantile(share) for share in QUANTILES)
-        p99 = max(p99, least_s, p90 * LEAST_RATIO)
-        ratio = min(max(p99 / p90, LEAST_RATIO), GREATEST_RATIO)
+        p99 = max(p99, min_latency_s, p90 * MIN_RATIO)
+        ratio = min(max(p99 / p90, MIN_RATIO), MAX_RATIO)
         late = p99 * ratio
         if many:
             measured = self.quantile(LATE_QUANTILE)
-            late = min(max(measured, p99 * LEAST_RATIO**0.5), late)
+            late = min(max(measured, p99 * MIN_RATIO**0.5), late)
         return Bounds(median, p90, p99, late, late * ratio)
 
     def quantile(self, share: float) -> float:
@@ -153,46 +153,48 @@
             seen += weight
             if seen >= want:
                 break
-        return LEAST_S * 2 ** ((index + 1) / BINS_A_DOUBLING)
+        return MIN_LATENCY_S * 2 ** ((index + 1) / BINS_PER_DOUBLING)
 
 
 def _bin(latency_s: float) -> int:
-    if latency_s <= LEAST_S:
+    if latency_s <= MIN_LATENCY_S:
         return 0
-    index = int(math.log2(latency_s / LEAST_S) * BINS_A_DOUBLING)
+    index = int(math.log2(latency_s / MIN_LATENCY_S) * BINS_PER_DOUBLING)
     return min(index, BINS - 1)
 
 
-class Routes:
+class RouteLatencies:
     """Latencies of the routes of one service."""
 
     def __init__(self) -> None:
-        self.table: dict[int, Latencies] = {}
+        self.by_route: dict[int, LatencyHistogram] = {}
 
     def add(self, route: int, latency_s: float, now: float) -> None:
         """Add the latency of one good answer."""
-        latencies = self.table.get(route)
+        latencies = self.by_route.get(route)
         if latencies is None:
-            if len(self.table) >= MAX_ROUTES:
+            if len(self.by_route) >= MAX_ROUTES:
                 return
-            latencies = self.table[route] = Latencies(now)
+            latencies = self.by_route[route] = LatencyHistogram(now)
         latencies.add(latency_s, now)
 
-    def bounded(self, route: int, now: float) -> bool:
+    def has_bounds(self, route: int, now: float) -> bool:
         """Tell whether a route has answers enough for bounds."""
-        latencies = self.table.get(route)
-        return latencies is not None and latencies.count(now) >= ENOUGH
+        latencies = self.by_route.get(route)
+        return latencies is not None and latencies.count(now) >= MIN_ANSWERS
 
-    def bounds(self, least_s: float, now: float) -> dict[int, Bounds]:
+    def bounds(self, min_latency_s: float, now: float) -> dict[int, Bounds]:
         """Return the bounds of each route that has enough answers."""
         return {
-            route: latencies.bounds(least_s, count >= ENOUGH_FOR_LATE)
-            for route, latencies in self.table.items()
-            if (count := latencies.count(now)) >= ENOUGH
+            route: latencies.bounds(
+                min_latency_s, count >= MIN_ANSWERS_FOR_LATE
+            )
+            for route, latencies in self.by_route.items()
+            if (count := latencies.count(now)) >= MIN_ANSWERS
         }
 
-    def forget(self, now: float) -> None:
+    def remove_unused(self, now: float) -> None:
         """Drop routes that nobody uses any more."""
-        for route, latencies in list(self.table.items()):
+        for route, latencies in list(self.by_route.items()):
             if latencies.count(now) < 1.0:
-                del self.table[route]
+                del self.by_route[route]
--- a/carawaystair/outlier/local_ejections.py
+++ b/carawaystair/outlier/local_ejections.py
@@ -4,12 +4,12 @@
 from carawaystair.outlier import tuning as tunings
 
 # Length of the first ejection, seconds; it grows with each further one.
-EJECTION_S = 10.0
-MOST_S = 300.0
+FIRST_EJECTION_S = 10.0
+MAX_EJECTION_S = 300.0
 BAD_SCORE = 8.0
 
 
-class Own:
+class LocalEjections:
     """The ejections of one service at this node.
 
     :param detector: one that is not pooled.
@@ -18,7 +18,7 @@
     def __init__(self, detector: detectors.Detector) -> None:
         self.detector = detector
         self.until: dict[str, float] = {}
-        self.times: dict[str, int] = {}
+        self.counts: dict[str, int] = {}
 
     def observe(
         self, upstream: str, bad: bool, tuning: tunings.Tuning, now: float
@@ -28,12 +28,14 @@
         :return: whether the upstream is ejected now.
         """
         self.detector.observe(upstream, BAD_SCORE if bad else 0.0, 1.0, now)
-        if self.detector.evidence(upstream, now) < tuning.eject:
+        if self.detector.evidence(upstream, now) < tuning.eject_nats:
             return False
-        self.detector.forget(upstream)
-        times = self.times.get(upstream, 0) + 1
-        self.times[upstream] = times
-        self.until[upstream] = now + min(EJECTION_S * times, MOST_S)
+        self.detector.reset(upstream)
+        counts = self.counts.get(upstream, 0) + 1
+        self.counts[upstream] = counts
+        self.until[upstream] = now + min(
+            FIRST_EJECTION_S * counts, MAX_EJECTION_S
+        )
         return True
 
     def ejected(self, now: float) -> list[str]:
@@ -42,13 +44,13 @@
             name for name, until in self.until.items() if until > now
         )
 
-    def renew(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Begin anew with an upstream that has started again."""
-        self.detector.forget(upstream)
+        self.detector.reset(upstream)
         self.until.pop(upstream, None)
-        self.times.pop(upstream, None)
+        self.counts.pop(upstream, None)
 
-    def forget(self, now: float) -> bool:
+    def remove_expired(self, now: float) -> bool:
         """Drop what is over.
 
         :return: whether there was anything.
--- a/carawaystair/outlier/local_weights.py
+++ b/carawaystair/outlier/local_weights.py
@@ -6,7 +6,7 @@
 from carawaystair import interfaces
 
 # What an outcome multiplies the weight by.
-FACTORS = {
+OUTCOME_FACTORS = {
     interfaces.TIMEOUT: 0.1,
     interfaces.BROKEN: 0.2,
     interfaces.REFUSED: 0.2,
@@ -19,21 +19,21 @@
 OVERDUE_FACTOR = 0.15
 # On a connection that may have gone silent by itself.
 UNPROVEN_FACTOR = 0.5
-LEAST_WEIGHT = 0.02
+MIN_WEIGHT = 0.02
 # A weight that nothing happens to gets back two thirds of its loss in this
 # time, seconds; it doubles when the next attempt after a while fails too, so
 # that a path that stays broken is tried less and less.
 RECOVERY_S = 5.0
-MOST_RECOVERY_S = 80.0
-LOW = 0.95
-AGAIN_S = 3.0
+MAX_RECOVERY_S = 80.0
+RECOVERED_WEIGHT = 0.95
+REPEAT_S = 3.0
 # Each good answer takes this share of the loss away.
 RECOVERY_SHARE = 0.3
 # Weights this close to 1.0 are forgotten, so that the table stays small.
-FORGET = 0.99
+FORGET_WEIGHT = 0.99
 
 
-class Soft(typing.NamedTuple):
+class LocalWeight(typing.NamedTuple):
     """The soft weight of one upstream.
 
     :param loss: what the weight lacked to 1.0 at ``time``.
@@ -50,47 +50,47 @@
         return 1.0 - self.loss * math.exp((self.time - now) / self.recovery_s)
 
 
-class Weights:
+class LocalWeights:
     """Soft weights of the upstreams that this node had trouble with."""
 
     def __init__(self) -> None:
-        self.table: dict[str, Soft] = {}
+        self.by_upstream: dict[str, LocalWeight] = {}
 
     def lower(self, upstream: str, factor: float, now: float) -> None:
         """Multiply a weight."""
-        old = self.table.get(upstream, Soft(0.0, now, RECOVERY_S))
+        old = self.by_upstream.get(upstream, LocalWeight(0.0, now, RECOVERY_S))
         before = old.weight(now)
-        weight = max(before * factor, LEAST_WEIGHT)
+        weight = max(before * factor, MIN_WEIGHT)
         recovery = old.recovery_s
-        if before < LOW and now - old.time > AGAIN_S:
-            recovery = min(recovery * 2, MOST_RECOVERY_S)
-        self.table[upstream] = Soft(1.0 - weight, now, recovery)
+        if before < RECOVERED_WEIGHT and now - old.time > REPEAT_S:
+            recovery = min(recovery * 2, MAX_RECOVERY_S)
+        self.by_upstream[upstream] = LocalWeight(1.0 - weight, now, recovery)
 
-    def raise_(self, upstream: str, now: float) -> None:
+    def restore(self, upstream: str, now: float) -> None:
         """Let a good answer raise a weight."""
-        old = self.table.get(upstream)
+        old = self.by_upstream.get(upstream)
         if old is None:
             return
         loss = (1.0 - old.weight(now)) * (1.0 - RECOVERY_SHARE)
-        self._keep(upstream, Soft(loss, now, RECOVERY_S))
+        self._set(upstream, LocalWeight(loss, now, RECOVERY_S))
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Set a weight back to 1.0."""
-        self.table.pop(upstream, None)
+        self.by_upstream.pop(upstream, None)
 
     def weight(self, upstream: str, now: float) -> float:
         """Return a weight, which recovers with time."""
-        soft = self.table.get(upstream)
-        return 1.0 if soft is None else soft.weight(now)
+        weight = self.by_upstream.get(upstream)
+        return 1.0 if weight is None else weight.weight(now)
 
     def sweep(self, now: float) -> None:
         """Forget the weights that have recovered."""
-        for upstream, soft in list(self.table.items()):
-            loss = 1.0 - soft.weight(now)
-            self._keep(upstream, Soft(loss, now, soft.recovery_s))
+        for upstream, weight in list(self.by_upstream.items()):
+            loss = 1.0 - weight.weight(now)
+            self._set(upstream, LocalWeight(loss, now, weight.recovery_s))
 
-    def _keep(self, upstream: str, soft: Soft) -> None:
-        if 1.0 - soft.loss >= FORGET:
-            self.table.pop(upstream, None)
+    def _set(self, upstream: str, weight: LocalWeight) -> None:
+        if 1.0 - weight.loss >= FORGET_WEIGHT:
+            self.by_upstream.pop(upstream, None)
         else:
-            self.table[upstream] = soft
+            self.by_upstream[upstream] = weight
--- a/carawaystair/outlier/messages.py
+++ b/carawaystair/outlier/messages.py
@@ -9,7 +9,7 @@
 from carawaystair import wire
 
 # What an entry says of an upstream.
-HELD = 1  # under suspicion: hardly any work while it is tested
+SUSPECTED = 1  # under suspicion: hardly any work while it is tested
 EJECTED = 2  # no work
 RETURNING = 3  # work again, growing
 CLEAR = 4  # nothing is held against it any more
@@ -29,7 +29,7 @@
     upstream: str
     customer_class: int
     counts: tuple[int, ...]
-    tested: int = 0
+    test_answers: int = 0
 
 
 class Sample(typing.NamedTuple):
@@ -69,9 +69,9 @@
     epoch: int
     digest: int
     bounds: int
-    copies: bool
-    suspect: bool
-    share: float
+    offers_copies: bool
+    path_suspected: bool
+    cell_share: float
     cells: tuple[Cell, ...]
     samples: tuple[Sample, ...] = ()
 
@@ -98,11 +98,11 @@
     serial: int
     ttl_ms: int
     weight: int = 0
-    trial: int = 0
+    copy_chance: int = 0
     severity: int = 0
     data_centre: str = ''
     customer_class: int = -1
-    trickle: int = 0
+    test_share: int = 0
 
 
 @wire.register(81)
@@ -120,7 +120,7 @@
     service: str
     host: str
     epoch: int
-    full: bool
+    complete: bool
     entries: tuple[Entry, ...]
 
 
@@ -149,8 +149,8 @@
 
     service: str
     version: int
-    every_ms: int
-    spacing_ms: int
+    interval_ms: int
+    min_spacing_ms: int
     urgent_level: int
     bounds: tuple[RouteBounds, ...]
 
@@ -164,7 +164,7 @@
     """
 
     entry: Entry
-    flaps: float = 0.0
+    recent_ejections: float = 0.0
     backoff_ms: int = 0
 
 
@@ -180,7 +180,7 @@
 
     service: str
     epoch: int
-    whole: bool
+    complete: bool
     phases: tuple[Phase, ...]
 
 
--- a/carawaystair/outlier/node_leases.py
+++ b/carawaystair/outlier/node_leases.py
@@ -13,7 +13,7 @@
 
 # A coordinator of a higher epoch that has been silent for so long no longer
 # keeps others from being heard, seconds.
-EPOCH_S = 180.0
+EPOCH_TIMEOUT_S = 180.0
 
 
 class Lease(typing.NamedTuple):
@@ -31,12 +31,12 @@
     until: float
 
 
-class Holding:
+class NodeLeases:
     """What a node holds for one service."""
 
     def __init__(self) -> None:
-        self.order: tuple[int, str] = (0, '')
-        self.heard = 0.0
+        self.newest_sender: tuple[int, str] = (0, '')
+        self.updated_at = 0.0
         self.leases: dict[str, Lease] = {}
 
     def accept(self, state: messages.State, now: float) -> bool:
@@ -44,12 +44,15 @@
 
         :return: whether it was heeded; False for a stale one.
         """
-        order = (state.epoch, state.host)
-        stale = order < self.order and now - self.heard < EPOCH_S
+        newest_sender = (state.epoch, state.host)
+        stale = (
+            newest_sender < self.newest_sender
+            and now - self.updated_at < EPOCH_TIMEOUT_S
+        )
         if stale:
             return False
-        self.order, self.heard = order, now
-        if state.full:
+        self.newest_sender, self.updated_at = newest_sender, now
+        if state.complete:
             kept = {entry.upstream for entry in state.entries}
             self.leases = {
                 name: lease
@@ -57,10 +60,10 @@
                 if name in kept
             }
         for entry in state.entries:
-            self._entry(entry, state.epoch, now)
+            self._apply_entry(entry, state.epoch, now)
         return True
 
-    def _entry(self, entry, epoch, now) -> None:
+    def _apply_entry(self, entry, epoch, now) -> None:
         old = self.leases.get(entry.upstream)
         newer = old is None or epoch != old.epoch
         if not newer and entry.serial < old.entry.serial:
@@ -69,7 +72,7 @@
         if entry.kind == messages.CLEAR:
             self.leases.pop(entry.upstream, None)
             return
-        same = old is not None and _alike(old.entry, entry)
+        same = old is not None and _same_tests(old.entry, entry)
         since = old.since if same else now
         until = now + entry.ttl_ms / 1000
         self.leases[entry.upstream] = Lease(entry, epoch, since, until)
@@ -79,13 +82,13 @@
 
         :return: whether there were any.
         """
-        left = {
+        unexpired = {
             name: lease
             for name, lease in self.leases.items()
             if lease.until > now
         }
-        changed = len(left) != len(self.leases)
-        self.leases = left
+        changed = len(unexpired) != len(self.leases)
+        self.leases = unexpired
         return changed
 
     def phases(self, now: float) -> tuple[messages.Phase, ...]:
@@ -102,9 +105,9 @@
         return digest(lease.entry for lease in self.leases.values())
 
 
-def _alike(old: messages.Entry, new: messages.Entry) -> bool:
+def _same_tests(old: messages.Entry, new: messages.Entry) -> bool:
     """Tell whether trials of the old entry still count under the new."""
-    return (old.kind, old.trial > 0) == (new.kind, new.trial > 0)
+    return (old.kind, old.copy_chance > 0) == (new.kind, new.copy_chance > 0)
 
 
 def digest(entries: typing.Iterable[messages.Entry]) -> int:
@@ -115,7 +118,7 @@
     """
     total = 0
     for entry in entries:
-        if entry.kind in (messages.HELD, messages.EJECTED):
+        if entry.kind in (messages.SUSPECTED, messages.EJECTED):
             text = '%s %d %d' % (entry.upstream, entry.kind, entry.serial)
             total ^= xxhash.xxh32_intdigest(text.encode())
     return total
--- a/carawaystair/outlier/paced_sender.py
+++ b/carawaystair/outlier/paced_sender.py
@@ -9,13 +9,13 @@
 
 # So many datagrams go out at once, about a millisecond of work; then the
 # requests that wait get their turn.
-BURST = 40
+BURST_DATAGRAMS = 40
 PAUSE_S = 0.002
 # Datagrams that wait; the oldest are dropped, later states repair them.
-QUEUE = 20_000
+MAX_QUEUE = 20_000
 
 
-class Outgoing(mode.Service):
+class PacedSender(mode.Service):
     """Paced sending.
 
     :param transport: the datagrams of this process.
@@ -24,7 +24,7 @@
     def __init__(self, transport: typing.Any, **kwargs) -> None:
         super().__init__(**kwargs)
         self.transport = transport
-        self.queue = collections.deque(maxlen=QUEUE)
+        self.queue = collections.deque(maxlen=MAX_QUEUE)
         self.wake = asyncio.Event()
         self.sent = 0
 
@@ -33,7 +33,7 @@
         pairs = [
             (address, message) for address in addresses for message in messages
         ]
-        now = [] if self.queue else pairs[:BURST]
+        now = [] if self.queue else pairs[:BURST_DATAGRAMS]
         for address, message in now:
             self._send(address, message)
         self.queue.extend(itertools.islice(pairs, len(now), None))
@@ -50,7 +50,7 @@
         while not self.should_stop:
             await self.wake.wait()
             await asyncio.sleep(PAUSE_S)
-            for _index in range(min(BURST, len(self.queue))):
+            for _index in range(min(BURST_DATAGRAMS, len(self.queue))):
                 self._send(*self.queue.popleft())
             if not self.queue:
                 self.wake.clear()
--- a/carawaystair/outlier/placement.py
+++ b/carawaystair/outlier/placement.py
@@ -12,7 +12,7 @@
 from carawaystair import rendezvous
 
 
-class Chosen(typing.NamedTuple):
+class Assignment(typing.NamedTuple):
     """The processes chosen for one service.
 
     :param coordinator: decides on ejections.
@@ -23,7 +23,7 @@
     coordinator: interfaces.Member
     standby: interfaces.Member | None
 
-    def least(self, service: str) -> int:
+    def lowest_score(self, service: str) -> int:
         """Return the lower of the two scores, 0 without a standby."""
         if self.standby is None:
             return 0
@@ -33,7 +33,7 @@
         )
 
 
-class Choice:
+class Placement:
     """Choices over the members alive.
 
     :param members: the members.
@@ -42,31 +42,35 @@
     def __init__(self, members: interfaces.Members) -> None:
         self.members = members
         self.alive: tuple[interfaces.Member, ...] = ()
-        self.table: dict[str, interfaces.Member] = {}
-        self.kept: dict[str, Chosen] = {}
+        self.by_host: dict[str, interfaces.Member] = {}
+        self.assignments: dict[str, Assignment] = {}
 
-    def of(self, service: str) -> Chosen:
+    def assignment(self, service: str) -> Assignment:
         """Return the processes chosen for a service."""
-        found = self.kept.get(service)
+        found = self.assignments.get(service)
         if found is None:
-            if not self.table:
+            if not self.by_host:
                 self.refresh()
-            first, second = _top(service, self.table.values())
-            found = self.kept[service] = Chosen(first, second)
+            first, second = _top_two(service, self.by_host.values())
+            found = self.assignments[service] = Assignment(first, second)
         return found
 
-    def near(self, service: str, count: int) -> list[interfaces.Member]:
+    def possible_predecessors(
+        self, service: str, count: int
+    ) -> list[interfaces.Member]:
         """Return the other members that may have coordinated before."""
         others = [
             member
-            for member in self.table.values()
+            for member in self.by_host.values()
             if member.host != self.members.me.host
         ]
         return rendezvous.rank(service, others)[:count]
 
-    def mine(self, service: str) -> bool:
+    def coordinates_here(self, service: str) -> bool:
         """Tell whether this process is the coordinator."""
-        return self.of(service).coordinator.host == self.members.me.host
+        return (
+            self.assignment(service).coordinator.host == self.members.me.host
+        )
 
     def refresh(self) -> bool:
         """Look at the members again.
@@ -79,28 +83,31 @@
         self.alive = alive
         # A control host keeps its processor for the log, where there are
         # others.
-        able = [member for member in alive if not member.control] or alive
-        table = {member.host: member for member in able}
-        old, self.table = self.table, table
-        gone = [host for host in old if table.get(host) != old[host]]
-        new = [host for host in table if old.get(host) != table[host]]
-        self.kept = {
+        eligible = [member for member in alive if not member.control] or alive
+        table = {member.host: member for member in eligible}
+        old, self.by_host = self.by_host, table
+        removed = [host for host in old if table.get(host) != old[host]]
+        added = [host for host in table if old.get(host) != table[host]]
+        self.assignments = {
             service: chosen
-            for service, chosen in self.kept.items()
-            if not _concerned(service, chosen, gone, new)
+            for service, chosen in self.assignments.items()
+            if not _affected(service, chosen, removed, added)
         }
         return True
 
 
-def _concerned(service, chosen, gone, new) -> bool:
-    names = {chosen.coordinator.host, getattr(chosen.standby, 'host', None)}
-    if names.intersection(gone):
+def _affected(service, chosen, removed, added) -> bool:
+    chosen_hosts = {
+        chosen.coordinator.host,
+        getattr(chosen.standby, 'host', None),
+    }
+    if chosen_hosts.intersection(removed):
         return True
-    least = chosen.least(service)
-    return any(rendezvous.score(service, host) > least for host in new)
+    lowest = chosen.lowest_score(service)
+    return any(rendezvous.score(service, host) > lowest for host in added)
 
 
-def _top(service, members):
+def _top_two(service, members):
     """Return what ``rendezvous.spread`` would, without sorting all."""
     members = tuple(members)
 
--- a/carawaystair/outlier/recent_scores.py
+++ b/carawaystair/outlier/recent_scores.py
@@ -9,20 +9,20 @@
 import typing
 
 # Attempts count for a third after this, seconds.
-MEMORY_S = 1.0
+DECAY_S = 1.0
 # Means are taken with so many usual attempts beside the real ones.
-PRIOR = 0.5
+PRIOR_ATTEMPTS = 0.5
 # An upstream counts from so many attempts on.
-LEAST = 0.3
+MIN_ATTEMPTS = 0.3
 # The mean that three in four siblings exceed is what is usual.  So up to
 # three in four may fail and the rest still shows it.
 QUANTILE = 0.25
 # Means are sorted this often, seconds, and of so many upstreams at most.
-SORT_EVERY_S = 0.05
-MOST = 64
+SORT_INTERVAL_S = 0.05
+MAX_SORTED = 64
 
 
-class Scores(typing.NamedTuple):
+class DecayedScores(typing.NamedTuple):
     """Scores of one upstream, decayed.
 
     :param count: attempts.
@@ -36,19 +36,19 @@
     failed: float = 0.0
     time: float = 0.0
 
-    def at(self, now: float) -> 'Scores':
+    def decayed(self, now: float) -> 'DecayedScores':
         """Return the same, decayed until ``now``."""
-        fade = math.exp((self.time - now) / MEMORY_S)
-        return Scores(
-            self.count * fade, self.total * fade, self.failed * fade, now
+        decay = math.exp((self.time - now) / DECAY_S)
+        return DecayedScores(
+            self.count * decay, self.total * decay, self.failed * decay, now
         )
 
-    def plus(
+    def with_added(
         self, count: float, score: float, failed: bool, now: float
-    ) -> 'Scores':
+    ) -> 'DecayedScores':
         """Return the same with more attempts."""
-        old = self.at(now)
-        return Scores(
+        old = self.decayed(now)
+        return DecayedScores(
             old.count + count,
             old.total + count * score,
             old.failed + count * failed,
@@ -57,19 +57,19 @@
 
     def mean(self) -> float:
         """Return the mean score, drawn towards 1.0."""
-        return (self.total + PRIOR) / (self.count + PRIOR)
+        return (self.total + PRIOR_ATTEMPTS) / (self.count + PRIOR_ATTEMPTS)
 
 
-NOTHING = Scores()
+NOTHING = DecayedScores()
 
 
-class Recent:
+class RecentScores:
     """Scores of all upstreams of a service."""
 
     def __init__(self) -> None:
-        self.table: dict[str, Scores] = {}
-        self.ordered: list[tuple[float, str]] = []
-        self.sorted = -SORT_EVERY_S
+        self.by_upstream: dict[str, DecayedScores] = {}
+        self.sorted_means: list[tuple[float, str]] = []
+        self.sorted_at = -SORT_INTERVAL_S
 
     def add(
         self,
@@ -80,32 +80,32 @@
         now: float,
     ) -> None:
         """Add attempts."""
-        old = self.table.get(upstream, NOTHING)
-        self.table[upstream] = old.plus(count, score, failed, now)
+        old = self.by_upstream.get(upstream, NOTHING)
+        self.by_upstream[upstream] = old.with_added(count, score, failed, now)
 
-    def of(self, upstream: str, now: float) -> Scores:
+    def get(self, upstream: str, now: float) -> DecayedScores:
         """Return the scores of an upstream."""
-        return self.table.get(upstream, NOTHING).at(now)
+        return self.by_upstream.get(upstream, NOTHING).decayed(now)
 
-    def usual(self, upstream: str, now: float) -> float:
+    def typical_score(self, upstream: str, now: float) -> float:
         """Return what score is usual among siblings, at least 1.0."""
-        if now - self.sorted >= SORT_EVERY_S:
+        if now - self.sorted_at >= SORT_INTERVAL_S:
             self._sort(now)
-        means = [mean for mean, name in self.ordered if name != upstream]
+        means = [mean for mean, name in self.sorted_means if name != upstream]
         if not means:
             return 1.0
         return max(means[int(QUANTILE * len(means))], 1.0)
 
-    def forget(self, upstream: str) -> None:
+    def remove(self, upstream: str) -> None:
         """Drop an upstream."""
-        self.table.pop(upstream, None)
+        self.by_upstream.pop(upstream, None)
 
     def _sort(self, now: float) -> None:
-        self.sorted = now
-        some = itertools.islice(self.table.items(), MOST)
-        faded = ((name, scores.at(now)) for name, scores in some)
-        self.ordered = sorted(
+        self.sorted_at = now
+        some = itertools.islice(self.by_upstream.items(), MAX_SORTED)
+        faded = ((name, scores.decayed(now)) for name, scores in some)
+        self.sorted_means = sorted(
             (scores.mean(), name)
             for name, scores in faded
-            if scores.count >= LEAST
+            if scores.count >= MIN_ATTEMPTS
         )
--- a/carawaystair/outlier/record_store.py
+++ b/carawaystair/outlier/record_store.py
@@ -13,96 +13,110 @@
 from carawaystair.outlier import upstream_record
 
 
-class Ledger:
+class RecordStore:
     """The tracks of one service.
 
     :param service: its name.
     :param known: the upstreams.
     """
 
-    def __init__(self, service: str, known: upstream_index.Known) -> None:
+    def __init__(
+        self, service: str, index: upstream_index.UpstreamIndex
+    ) -> None:
         self.service = service
-        self.known = known
-        self.tracks: dict[str, upstream_record.Track] = {}
+        self.index = index
+        self.records: dict[str, upstream_record.UpstreamRecord] = {}
         self.serial = 0
         # What is still to be sent and to be shown.
-        self.changed: dict[str, upstream_record.Track] = {}
+        self.changed: dict[str, upstream_record.UpstreamRecord] = {}
         self.events: list[upstream_record.Transition] = []
 
-    def track(self, upstream: str, now: float) -> upstream_record.Track:
+    def get_or_add(
+        self, upstream: str, now: float
+    ) -> upstream_record.UpstreamRecord:
         """Return the track of an upstream, made when missing."""
-        found = self.tracks.get(upstream)
+        found = self.records.get(upstream)
         if found is None:
-            found = self.tracks[upstream] = upstream_record.Track(
+            found = self.records[upstream] = upstream_record.UpstreamRecord(
                 upstream, now
             )
         return found
 
-    def held(self) -> tuple[upstream_record.Track, ...]:
+    def unhealthy(self) -> tuple[upstream_record.UpstreamRecord, ...]:
         """Return the tracks that nodes are told of, by id."""
         return tuple(
-            track
-            for _name, track in sorted(self.tracks.items())
-            if track.state != upstream_record.HEALTHY
+            record
+            for _name, record in sorted(self.records.items())
+            if record.state != upstream_record.HEALTHY
         )
 
-    def change(self, track: upstream_record.Track) -> None:
+    def mark_changed(self, record: upstream_record.UpstreamRecord) -> None:
         """Take note that nodes must be told of a track."""
         self.serial += 1
-        track.serial = self.serial
-        self.changed[track.upstream] = track
+        record.serial = self.serial
+        self.changed[record.upstream] = record
 
-    def tell(self, kind: str, upstream: str, text: str) -> None:
+    def add_event(self, kind: str, upstream: str, text: str) -> None:
         """Show an event in the time line."""
         self.events.append(upstream_record.Transition(kind, upstream, text))
 
-    def room(self, track: upstream_record.Track, place: str = '') -> bool:
+    def floor_allows(
+        self, record: upstream_record.UpstreamRecord, data_centre: str = ''
+    ) -> bool:
         """Tell whether the floor allows to take an upstream out.
 
         :param place: for callers of this data centre only, or empty.
         """
-        upstream = self.known.table(self.service).get(track.upstream)
+        upstream = self.index.by_id(self.service).get(record.upstream)
         if upstream is None:
             return False
-        cost = upstream.slots if self.known.able(upstream) else 0
-        places = {place} if place else {'', *self._places()}
+        cost = upstream.slots if self.index.usable(upstream) else 0
+        data_centres = (
+            {data_centre}
+            if data_centre
+            else {'', *self._limited_data_centres()}
+        )
         return all(
-            self._spare(self._out(one) - {track.upstream}) >= cost
-            for one in places
+            self._spare(self._out(one) - {record.upstream}) >= cost
+            for one in data_centres
         )
 
     def assert_floor(self) -> None:
         """Assert that nothing granted brings the capacity below the floor."""
-        for place in {'', *self._places()}:
-            out = self._out(place)
+        for data_centre in {'', *self._limited_data_centres()}:
+            out = self._out(data_centre)
             spare = self._spare(out)
             # Losses of hosts may take capacity below the floor; the nodes
             # then honour fewer ejections, see ``floor.clamp``.
             lost = self._spare(frozenset()) < 0
-            detail = '%s %s %d' % (self.service, place, spare)
+            detail = '%s %s %d' % (self.service, data_centre, spare)
             invariants.check(
                 invariants.FLOOR, not out or spare >= 0 or lost, detail
             )
 
-    def _places(self) -> set[str]:
+    def _limited_data_centres(self) -> set[str]:
         return {
-            track.scope.group
-            for track in self.tracks.values()
-            if track.scope.kind == scopes.DATA_CENTRE
+            record.scope.group
+            for record in self.records.values()
+            if record.scope.kind == scopes.DATA_CENTRE
         }
 
-    def _out(self, place: str) -> frozenset[str]:
+    def _out(self, data_centre: str) -> frozenset[str]:
         return frozenset(
-            track.upstream
-            for track in self.tracks.values()
-            if track.out
-            or (place and track.scope.group == place and track.weight == 0.0)
+            record.upstream
+            for record in self.records.values()
+            if record.out_of_service
+            or (
+                data_centre
+                and record.scope.group == data_centre
+                and record.weight == 0.0
+            )
         )
 
     def _spare(self, out: typing.Container[str]) -> int:
         return floor.measure(
-            self.known.service(self.service),
-            self.known.table(self.service).values(),
+            self.index.service(self.service),
+            self.index.by_id(self.service).values(),
             out,
-            self.known.able,
+            self.index.usable,
         ).spare
--- a/carawaystair/outlier/report_outbox.py
+++ b/carawaystair/outlier/report_outbox.py
@@ -12,18 +12,18 @@
 from carawaystair.outlier import messages
 
 # Until the coordinator sets a pace.
-EVERY_S = 1.0
-SPACING_S = 0.1
+INTERVAL_S = 1.0
+MIN_SPACING_S = 0.1
 # Reports of bad attempts over all services, a second, and at once.
-URGENT_A_SECOND = 20.0
+URGENT_PER_S = 20.0
 URGENT_BURST = 40.0
-MOST_CELLS = 24
-MOST_SAMPLES = 12
+MAX_CELLS = 24
+MAX_SAMPLES = 12
 # Bytes of cells in one datagram, and what a cell takes beside the name.
 CHUNK_BYTES = 1000
 CELL_BYTES = 22
 # A service that this node no longer uses is forgotten after this, seconds.
-IDLE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 
 
 class Outbox:
@@ -37,19 +37,19 @@
         self.service = service
         self.cells: dict[tuple[str, int], list[int]] = {}
         self.samples: list[messages.Sample] = []
-        self.offered = 0
-        self.sent = now
-        self.used = now
+        self.samples_seen = 0
+        self.sent_at = now
+        self.used_at = now
         self.urgent = False
-        self.every_s = EVERY_S
-        self.spacing_s = SPACING_S
+        self.interval_s = INTERVAL_S
+        self.min_spacing_s = MIN_SPACING_S
         self.urgent_level = levels.SLOW
         self.version = 0
         self.bounds: dict[int, levels.Bounds] = {}
         # When the request path last asked for a trial.
-        self.copied = -1e9
+        self.trial_asked_at = -1e9
 
-    def count(
+    def add(
         self, upstream: str, customer_class: int, category: int, count: int
     ) -> list[int]:
         """Add attempts and return their cell."""
@@ -60,7 +60,7 @@
         cell[category] += count
         return cell
 
-    def sample(
+    def add_sample(
         self,
         route: int,
         upstream: str,
@@ -68,42 +68,42 @@
         rng: random.Random,
     ) -> None:
         """Keep some of the latencies (reservoir sampling; Vitter, 1985)."""
-        self.offered += 1
-        number = levels.short(upstream)
+        self.samples_seen += 1
+        number = levels.short_id(upstream)
         sample = messages.Sample(route, int(latency_s * 1e6), number)
-        if len(self.samples) < MOST_SAMPLES:
+        if len(self.samples) < MAX_SAMPLES:
             self.samples.append(sample)
             return
-        place = rng.randrange(self.offered)
-        if place < MOST_SAMPLES:
+        place = rng.randrange(self.samples_seen)
+        if place < MAX_SAMPLES:
             self.samples[place] = sample
 
-    def drop(self, upstream: str) -> None:
+    def drop_upstream(self, upstream: str) -> None:
         """Drop what was to be told of an upstream."""
         self.cells = {
             key: cell for key, cell in self.cells.items() if key[0] != upstream
         }
 
-    def take_pace(self, pace: messages.Pace) -> None:
+    def apply_pace(self, pace: messages.Pace) -> None:
         """Follow the pace that the coordinator sets."""
         if pace.version != self.version:
             self.bounds = {}
         self.version = pace.version
-        self.every_s = pace.every_ms / 1000
-        self.spacing_s = pace.spacing_ms / 1000
+        self.interval_s = pace.interval_ms / 1000
+        self.min_spacing_s = pace.min_spacing_ms / 1000
         self.urgent_level = pace.urgent_level
         self.bounds |= {
             row.route: levels.Bounds(*(us / 1e6 for us in row.bounds_us))
             for row in pace.bounds
         }
 
-    def due(self, now: float) -> float:
+    def due_at(self, now: float) -> float:
         """Return when this is to be sent; infinity when never."""
         if self.urgent:
-            return self.sent + self.spacing_s
-        return self.sent + self.every_s if self.cells else float('inf')
+            return self.sent_at + self.min_spacing_s
+        return self.sent_at + self.interval_s if self.cells else float('inf')
 
-    def take(self, rng: random.Random, now: float) -> 'Batch':
+    def take_batch(self, rng: random.Random, now: float) -> 'Batch':
         """Return what is to be told now and start anew."""
         bad, good = [], []
         for (upstream, customer_class), counts in self.cells.items():
@@ -113,14 +113,14 @@
             plain = not any(counts[levels.SLOW : levels.UNRATED])
             plain = plain and not any(counts[levels.UNPROVEN :])
             (good if plain else bad).append(cell)
-        room = max(MOST_CELLS - len(bad), 1)
+        room = max(MAX_CELLS - len(bad), 1)
         share = 1.0
         if len(good) > room:
             share = room / len(good)
             good = rng.sample(good, room)
         batch = Batch(tuple(bad + good), tuple(self.samples), share)
-        self.cells, self.samples, self.offered = {}, [], 0
-        self.sent, self.urgent = now, False
+        self.cells, self.samples, self.samples_seen = {}, [], 0
+        self.sent_at, self.urgent = now, False
         return batch
 
 
@@ -150,7 +150,7 @@
         yield tuple(piece)
 
 
-class Reporter:
+class Outboxes:
     """The outboxes of this node.
 
     :param rng: source of randomness.
@@ -159,26 +159,26 @@
 
     def __init__(self, rng: random.Random, now: float) -> None:
         self.rng = rng
-        self.outboxes: dict[str, Outbox] = {}
+        self.by_service: dict[str, Outbox] = {}
         self.tokens = URGENT_BURST
-        self.refilled = now
+        self.refilled_at = now
 
     def outbox(self, service: str, now: float) -> Outbox:
         """Return the outbox of a service, made when missing."""
-        found = self.outboxes.get(service)
+        found = self.by_service.get(service)
         if found is None:
-            found = self.outboxes[service] = Outbox(service, now)
-        found.used = now
+            found = self.by_service[service] = Outbox(service, now)
+        found.used_at = now
         return found
 
-    def ready(self, now: float) -> list[Outbox]:
+    def take_due(self, now: float) -> list[Outbox]:
         """Return the outboxes to send now, and spend the budget on them."""
-        gained = (now - self.refilled) * URGENT_A_SECOND
+        gained = (now - self.refilled_at) * URGENT_PER_S
         self.tokens = min(self.tokens + gained, URGENT_BURST)
-        self.refilled = now
+        self.refilled_at = now
         found = []
-        for outbox in self.outboxes.values():
-            if outbox.due(now) > now:
+        for outbox in self.by_service.values():
+            if outbox.due_at(now) > now:
                 continue
             if outbox.urgent and self.tokens < 1.0:
                 continue
@@ -186,10 +186,10 @@
             found.append(outbox)
         return found
 
-    def forget(self, now: float) -> None:
+    def remove_idle(self, now: float) -> None:
         """Drop the services that this node no longer uses."""
-        self.outboxes = {
+        self.by_service = {
             service: outbox
-            for service, outbox in self.outboxes.items()
-            if now - outbox.used <= IDLE_S
+            for service, outbox in self.by_service.items()
+            if now - outbox.used_at <= IDLE_TIMEOUT_S
         }
--- a/carawaystair/outlier/report_pace.py
+++ b/carawaystair/outlier/report_pace.py
@@ -9,19 +9,19 @@
 
 # Bounds are worked out this often at most, seconds: at first soon, since
 # without bounds a hang shows at its timeout only.
-FIRST_EVERY_S = 1.0
-EVERY_S = 5.0
-FIRST_S = 20.0
+FIRST_INTERVAL_S = 1.0
+INTERVAL_S = 5.0
+FIRST_PHASE_S = 20.0
 # A change of a bound by less than this is not told.
-CHANGE = 0.15
+MIN_CHANGE = 0.15
 # Reports of bad attempts that a coordinator takes for one service, a second.
-URGENT_A_SECOND = 250.0
-LEAST_SPACING_S = 0.1
+URGENT_PER_S = 250.0
+MIN_SPACING_S = 0.1
 # Above this many requests a second the one in a hundred that is merely slow
 # is told with the good ones.
-BUSY = 1000.0
+BUSY_PER_S = 1000.0
 # Bounds of so many routes fit a datagram.
-CHUNK = 24
+ROUTES_PER_DATAGRAM = 24
 
 
 class Pacer:
@@ -34,19 +34,19 @@
     def __init__(self, service: str, now: float) -> None:
         self.service = service
         self.began = now
-        self.looked = now
+        self.updated_at = now
         self.version = 0
         self.bounds: dict[int, levels.Bounds] = {}
-        self.every_s = reporting_nodes.LEAST_EVERY_S
-        self.spacing_s = LEAST_SPACING_S
+        self.interval_s = reporting_nodes.MIN_INTERVAL_S
+        self.min_spacing_s = MIN_SPACING_S
         self.urgent_level = levels.SLOW
 
-    def look(
+    def update(
         self,
-        routes: levels.Routes,
-        reporters: reporting_nodes.Reporters,
+        routes: levels.RouteLatencies,
+        reporters: reporting_nodes.ReportingNodes,
         rate: float,
-        least_s: float,
+        min_latency_s: float,
         now: float,
     ) -> None:
         """Work out the pace again when it is time to.
@@ -54,42 +54,42 @@
         :param rate: requests a second of the service.
         :param least_s: see ``tuning.Tuning``.
         """
-        first = now - self.began < FIRST_S
-        if now - self.looked < (FIRST_EVERY_S if first else EVERY_S):
+        first = now - self.began < FIRST_PHASE_S
+        if now - self.updated_at < (FIRST_INTERVAL_S if first else INTERVAL_S):
             return
-        self.looked = now
-        bounds = routes.bounds(least_s, now)
-        every = reporters.every_s()
-        spacing = len(reporters.table) / URGENT_A_SECOND
-        spacing = max(spacing, LEAST_SPACING_S)
-        level = levels.SLOW if rate < BUSY else levels.LATE
+        self.updated_at = now
+        bounds = routes.bounds(min_latency_s, now)
+        interval = reporters.report_interval_s()
+        spacing = len(reporters.by_host) / URGENT_PER_S
+        spacing = max(spacing, MIN_SPACING_S)
+        level = levels.SLOW if rate < BUSY_PER_S else levels.LATE
         changed = (
-            _differ(self.bounds, bounds)
-            or _far(self.every_s, every)
-            or _far(self.spacing_s, spacing)
+            _bounds_differ(self.bounds, bounds)
+            or _differs(self.interval_s, interval)
+            or _differs(self.min_spacing_s, spacing)
             or self.urgent_level != level
         )
         if changed:
             self.version += 1
             self.bounds, self.urgent_level = bounds, level
-            self.every_s, self.spacing_s = every, spacing
+            self.interval_s, self.min_spacing_s = interval, spacing
 
-    def messages(self) -> tuple[messages.Pace, ...]:
+    def pace_messages(self) -> tuple[messages.Pace, ...]:
         """Return what a node is told."""
         rows = [
             messages.RouteBounds(route, tuple(int(x * 1e6) for x in bounds))
             for route, bounds in sorted(self.bounds.items())
         ]
         chunks = [
-            tuple(rows[start : start + CHUNK])
-            for start in range(0, max(len(rows), 1), CHUNK)
+            tuple(rows[start : start + ROUTES_PER_DATAGRAM])
+            for start in range(0, max(len(rows), 1), ROUTES_PER_DATAGRAM)
         ]
         return tuple(
             messages.Pace(
                 self.service,
                 self.version,
-                int(self.every_s * 1000),
-                int(self.spacing_s * 1000),
+                int(self.interval_s * 1000),
+                int(self.min_spacing_s * 1000),
                 self.urgent_level,
                 chunk,
             )
@@ -97,11 +97,11 @@
         )
 
 
-def _far(old: float, new: float) -> bool:
-    return abs(new - old) > CHANGE * 2 * old
+def _differs(old: float, new: float) -> bool:
+    return abs(new - old) > MIN_CHANGE * 2 * old
 
 
-def _differ(
+def _bounds_differ(
     old: dict[int, levels.Bounds], new: dict[int, levels.Bounds]
 ) -> bool:
     if old.keys() != new.keys():
@@ -109,4 +109,4 @@
     pairs: typing.Iterable = itertools.chain.from_iterable(
         zip(old[route], new[route]) for route in old
     )
-    return any(abs(b - a) > CHANGE * a for a, b in pairs)
+    return any(abs(b - a) > MIN_CHANGE * a for a, b in pairs)
--- a/carawaystair/outlier/scope.py
+++ b/carawaystair/outlier/scope.py
@@ -15,21 +15,21 @@
 CUSTOMER = 'customer'
 
 # So much of what is bad must come from one group to speak of that group.
-CONCENTRATED = 0.8
+CONCENTRATED_SHARE = 0.8
 # The others count as well served below this share of bad attempts.
-WELL = 0.2
+WELL_SERVED_SHARE = 0.2
 # That all bad attempts come from one group says nothing while chance alone
 # would bring it about this often.
-LIKELY = 0.1
+CHANCE_LIMIT = 0.1
 # Bad attempts further apart than this belong to different episodes.
 EPISODE_S = 5.0
-MOST_EPISODE_S = 30.0
+MAX_EPISODE_S = 30.0
 # Reporters kept apart; more are counted as one.
 MAX_GROUPS = 64
-OTHERS = '*'
+OTHER_REPORTERS = '*'
 
 
-class Seen(typing.NamedTuple):
+class GroupAttempts(typing.NamedTuple):
     """Attempts of one group within an episode.
 
     :param bad: bad attempts.
@@ -79,30 +79,32 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.began = now
-        self.last_bad = now
+        self.started_at = now
+        self.last_bad_at = now
         # Unproven attempts that weigh, see ``intake``.
         self.unproven = 0.0
-        self.groups: dict[str, dict[str, Seen]] = {
+        self.groups: dict[str, dict[str, GroupAttempts]] = {
             REPORTER: {},
             DATA_CENTRE: {},
             CUSTOMER: {},
         }
 
-    def over(self, now: float) -> bool:
+    def ended(self, now: float) -> bool:
         """Tell whether nothing bad happened for long enough."""
-        quiet = now - self.last_bad > EPISODE_S
-        return quiet or now - self.began > MOST_EPISODE_S
+        quiet = now - self.last_bad_at > EPISODE_S
+        return quiet or now - self.started_at > MAX_EPISODE_S
 
     def add(self, source: Source, bad: float, good: float) -> None:
         """Add attempts from one source."""
         for groups, group in zip(self.groups.values(), source):
             if group not in groups and len(groups) >= MAX_GROUPS:
-                group = OTHERS
-            seen = groups.get(group, Seen())
-            groups[group] = Seen(seen.bad + bad, seen.good + good)
+                group = OTHER_REPORTERS
+            seen = groups.get(group, GroupAttempts())
+            groups[group] = GroupAttempts(seen.bad + bad, seen.good + good)
 
-    def keys(self, upstream: str, source: Source | None = None) -> list[str]:
+    def group_keys(
+        self, upstream: str, source: Source | None = None
+    ) -> list[str]:
         """Return a detector's names of the groups that saw something bad.
 
         :param source: only its groups, or None for all.
@@ -120,7 +122,7 @@
 
     def reporter_bad(self, reporter: str) -> float:
         """Return the bad attempts of one reporter."""
-        return self.groups[REPORTER].get(reporter, Seen()).bad
+        return self.groups[REPORTER].get(reporter, GroupAttempts()).bad
 
     def scope(self, enough: int, share: Share) -> Scope:
         """Return whom the upstream fails.
@@ -128,24 +130,28 @@
         :param enough: good answers to others that clear it for them.
         :param share: returns a group's usual share of all attempts.
         """
-        found = (
+        candidates = (
             _concentrated(kind, groups, enough, share)
             for kind, groups in self.groups.items()
         )
-        found = [scope for scope in found if scope is not None]
-        named = (scope for scope in found if scope.kind != UNKNOWN)
-        return next(itertools.chain(named, found), Scope(EVERYBODY))
+        candidates = [scope for scope in candidates if scope is not None]
+        named = (scope for scope in candidates if scope.kind != UNKNOWN)
+        return next(itertools.chain(named, candidates), Scope(EVERYBODY))
 
 
 def _concentrated(kind, groups, enough, share) -> Scope | None:
     """Return the group that all that is bad comes from, if there is one."""
     total = sum(seen.bad for seen in groups.values())
     group, top = max(groups.items(), key=lambda item: (item[1].bad, item[0]))
-    if total <= 0.0 or top.bad < CONCENTRATED * total:
+    if total <= 0.0 or top.bad < CONCENTRATED_SHARE * total:
         return None
     good = sum(seen.good for seen in groups.values()) - top.good
     if good < enough:
         chance = share(kind, group) ** total
-        return Scope(UNKNOWN, group) if good or chance < LIKELY else None
+        return Scope(UNKNOWN, group) if good or chance < CHANCE_LIMIT else None
     rest = total - top.bad
-    return Scope(kind, group) if rest < WELL * (good + rest) else None
+    return (
+        Scope(kind, group)
+        if rest < WELL_SERVED_SHARE * (good + rest)
+        else None
+    )
--- a/carawaystair/outlier/service.py
+++ b/carawaystair/outlier/service.py
@@ -21,7 +21,7 @@
 
 SWEEP_S = 1.0
 # The detector of a service that names one that is not installed.
-DEFAULT = 'siblings'
+DEFAULT_DETECTOR = 'siblings'
 
 Sleep = typing.Callable[[float], typing.Awaitable]
 
@@ -57,21 +57,23 @@
         self.members = members
         self.factories = factories
         self.sleep = sleep
-        self.known = upstream_index.Known(directory, routing)
-        self.choice = placements.Choice(members)
-        self.outgoing = self.add_dependency(paced_sender.Outgoing(datagrams))
-        self.health = health.Health(members.me, self.known, rng)
+        self.index = upstream_index.UpstreamIndex(directory, routing)
+        self.placement = placements.Placement(members)
+        self.paced_sender = self.add_dependency(
+            paced_sender.PacedSender(datagrams)
+        )
+        self.health = health.Health(members.me, self.index, rng)
         self.evidence = evidence.Evidence(
-            self.health, self.tell, self.make, timeline, rng
+            self.health, self.send_report, self.make_detector, timeline, rng
         )
-        self.lead = self.add_dependency(
-            leadership.Lead(
-                self.choice,
-                self.known,
+        self.leadership = self.add_dependency(
+            leadership.Leadership(
+                self.placement,
+                self.index,
                 links,
                 self,
-                self.pooled,
-                self.health.outstanding,
+                self.make_pooled_detector,
+                self.health.outstanding_leases,
                 timeline,
                 rng,
             )
@@ -84,9 +86,9 @@
         }
         for kind, handler in self.handlers.items():
             datagrams.handle(kind, handler)
-        self._expose()
+        self._bind_request_path()
 
-    def _expose(self) -> None:
+    def _bind_request_path(self) -> None:
         """Take the hot path straight to the parts."""
         self.ejected = self.health.ejected
         self.weight = self.health.weight
@@ -102,22 +104,24 @@
         if len(others) < len(tuple(addresses)):
             for part in parts:
                 self.handlers[type(part)](me, part)
-        self.outgoing.send(others, parts)
+        self.paced_sender.send(others, parts)
 
-    def tell(self, report: messages.Report) -> None:
+    def send_report(self, report: messages.Report) -> None:
         """Send a report to the coordinator of its service."""
-        chosen = self.choice.of(report.service)
+        chosen = self.placement.assignment(report.service)
         self.send((chosen.coordinator.gossip,), (report,))
 
-    def make(self, service: str) -> detectors.Detector:
+    def make_detector(self, service: str) -> detectors.Detector:
         """Return a new detector of the kind that a service asks for."""
-        name = self.known.service(service).detector
-        return self.factories.get(name, self.factories[DEFAULT])()
+        name = self.index.service(service).detector
+        return self.factories.get(name, self.factories[DEFAULT_DETECTOR])()
 
-    def pooled(self, service: str) -> detectors.Detector:
+    def make_pooled_detector(self, service: str) -> detectors.Detector:
         """Return a new detector for the coordinator of a service."""
-        detector = self.make(service)
-        return detector if detector.pooled else self.factories[DEFAULT]()
+        detector = self.make_detector(service)
+        return (
+            detector if detector.pooled else self.factories[DEFAULT_DETECTOR]()
+        )
 
     @mode.Service.task
     async def _tick(self) -> None:
@@ -136,13 +140,13 @@
             self.evidence.sweep(now)
 
     def _report(self, sender: str, message: messages.Report) -> None:
-        self.lead.take(message, sender)
+        self.leadership.receive_report(message, sender)
 
     def _state(self, sender: str, message: messages.State) -> None:
         self.health.accept(message)
 
     def _pace(self, sender: str, message: messages.Pace) -> None:
-        self.evidence.take_pace(message)
+        self.evidence.apply_pace(message)
 
     def _mirror(self, sender: str, message: messages.Mirror) -> None:
-        self.lead.mirror(message)
+        self.leadership.receive_mirror(message)
--- a/carawaystair/outlier/state_machine.py
+++ b/carawaystair/outlier/state_machine.py
@@ -16,20 +16,20 @@
 from carawaystair.outlier import upstream_record
 
 # A refusal for the floor is told again after this, seconds.
-REFUSED_EVERY_S = 30.0
+REFUSED_INTERVAL_S = 30.0
 # One of many groups is bad by chance more often than all callers together;
 # nats.
 GROUP_PENALTY = 5.0
 # When so many others became suspect within so long, a common cause is likely:
 # the evidence is then weighed anew, against siblings as they are now.
-MANY_SHARE = 0.3
-MANY_LEAST = 2
-MANY_S = 1.5
+COMMON_CAUSE_SHARE = 0.3
+COMMON_CAUSE_MIN = 2
+COMMON_CAUSE_S = 1.5
 # Ejections begun at the same time are tried at different times.
-JITTER = (0.9, 1.1)
+BACKOFF_JITTER = (0.9, 1.1)
 
 
-class Judge:
+class StateMachine:
     """Decides for one service.
 
     :param ledger: takes the decisions.
@@ -41,189 +41,215 @@
 
     def __init__(
         self,
-        ledger: record_store.Ledger,
-        pool: evidence_pool.Pool,
+        store: record_store.RecordStore,
+        pool: evidence_pool.EvidencePool,
         detector: detectors.Detector,
-        reporters: reporting_nodes.Reporters,
+        reporters: reporting_nodes.ReportingNodes,
         rng: random.Random,
     ) -> None:
-        self.ledger = ledger
+        self.store = store
         self.pool = pool
         self.detector = detector
         self.reporters = reporters
         self.rng = rng
-        self.steps = {
-            upstream_record.HEALTHY: self._healthy,
-            upstream_record.SUSPECTED: self._suspected,
-            upstream_record.EJECTED: self._ejected,
-            upstream_record.TRIED: self._tried,
-            upstream_record.RETURNING: self._returning,
+        self.handlers = {
+            upstream_record.HEALTHY: self._step_healthy,
+            upstream_record.SUSPECTED: self._step_suspected,
+            upstream_record.EJECTED: self._step_ejected,
+            upstream_record.ON_TRIAL: self._step_tried,
+            upstream_record.RETURNING: self._step_returning,
         }
 
-    def judge(
-        self, track: upstream_record.Track, tuning: tunings.Tuning, now: float
+    def step(
+        self,
+        record: upstream_record.UpstreamRecord,
+        tuning: tunings.Tuning,
+        now: float,
     ) -> None:
         """Decide on one upstream."""
-        evidence = self._evidence(track, now)
-        self.steps[track.state](track, evidence, tuning, now)
+        evidence = self._evidence(record, now)
+        self.handlers[record.state](record, evidence, tuning, now)
 
-    def clear(self, track: upstream_record.Track, now: float) -> None:
+    def clear(
+        self, record: upstream_record.UpstreamRecord, now: float
+    ) -> None:
         """Hold nothing against an upstream any more."""
-        track.enter(upstream_record.HEALTHY, 1.0, now)
-        track.scope = scopes.Scope(scopes.EVERYBODY)
-        self.pool.include(track.upstream)
-        self.ledger.change(track)
+        record.set_state(upstream_record.HEALTHY, 1.0, now)
+        record.scope = scopes.Scope(scopes.EVERYBODY)
+        self.pool.include(record.upstream)
+        self.store.mark_changed(record)
 
-    def forget(self, track: upstream_record.Track) -> None:
+    def reset_evidence(self, record: upstream_record.UpstreamRecord) -> None:
         """Weigh an upstream anew."""
-        self.detector.forget(track.upstream)
-        self.forget_groups(track)
+        self.detector.reset(record.upstream)
+        self.reset_group_evidence(record)
 
-    def forget_groups(self, track: upstream_record.Track) -> None:
+    def reset_group_evidence(
+        self, record: upstream_record.UpstreamRecord
+    ) -> None:
         """Weigh the groups of its callers anew."""
-        if track.episode is not None:
-            for key in track.episode.keys(track.upstream):
-                self.detector.forget(key)
+        if record.episode is not None:
+            for key in record.episode.group_keys(record.upstream):
+                self.detector.reset(key)
 
-    def _evidence(self, track, now) -> float:
+    def _evidence(self, record, now) -> float:
         """Return the evidence from all callers or from one group of them."""
-        whole = self.detector.evidence(track.upstream, now)
-        if track.episode is None:
-            return whole
-        keys = track.episode.keys(track.upstream)
-        groups = [self.detector.evidence(key, now) for key in keys]
-        return max([whole, *(one - GROUP_PENALTY for one in groups)])
-
-    def _healthy(self, track, evidence, tuning, now) -> None:
-        if evidence >= tuning.suspect:
-            self._hold(track, evidence, tuning, now)
-
-    def _suspected(self, track, evidence, tuning, now) -> None:
-        track.severity = evidence
-        if evidence < tuning.clear:
-            if now - track.weighed_at > tuning.scope_wait_s:
-                self.clear(track, now)
-        elif evidence >= tuning.eject:
-            self._consider(track, tuning, now)
+        total_evidence = self.detector.evidence(record.upstream, now)
+        if record.episode is None:
+            return total_evidence
+        keys = record.episode.group_keys(record.upstream)
+        group_evidence = [self.detector.evidence(key, now) for key in keys]
+        return max(
+            [total_evidence, *(one - GROUP_PENALTY for one in group_evidence)]
+        )
+
+    def _step_healthy(self, record, evidence, tuning, now) -> None:
+        if evidence >= tuning.suspect_nats:
+            self._suspect(record, evidence, tuning, now)
+
+    def _step_suspected(self, record, evidence, tuning, now) -> None:
+        record.severity = evidence
+        if evidence < tuning.clear_nats:
+            if now - record.evidence_reset_at > tuning.scope_wait_s:
+                self.clear(record, now)
+        elif evidence >= tuning.eject_nats:
+            self._decide_ejection(record, tuning, now)
         elif (
-            track.weight < upstream_record.OUT
-            and now - track.since > tuning.hold_s
+            record.weight < upstream_record.OUT_OF_SERVICE_WEIGHT
+            and now - record.state_since > tuning.hold_s
         ):
-            track.weight = upstream_record.SOFT_WEIGHT
-            self.ledger.change(track)
+            record.weight = upstream_record.REDUCED_WEIGHT
+            self.store.mark_changed(record)
 
-    def _ejected(self, track, evidence, tuning, now) -> None:
-        if now < track.backoff_until:
+    def _step_ejected(self, record, evidence, tuning, now) -> None:
+        if now < record.backoff_until:
             return
-        self.forget(track)
-        track.episode = scopes.Episode(now)
-        track.copied = self.reporters.copies()
-        track.enter(upstream_record.TRIED, 0.0, now)
-        self.ledger.change(track)
-
-    def _tried(self, track, evidence, tuning, now) -> None:
-        if evidence >= tuning.suspect:
-            track.severity = evidence
-            self._eject(track, tuning, 'It failed its trial.', now)
-        elif track.good >= tuning.trials and evidence < tuning.clear:
-            track.enter(upstream_record.RETURNING, 1.0, now)
-            self.pool.include(track.upstream)
-            self.ledger.change(track)
-            text = 'It answered %d trials well.' % tuning.trials
-            self.ledger.tell('upstream-returned', track.upstream, text)
-
-    def _returning(self, track, evidence, tuning, now) -> None:
-        if evidence >= tuning.suspect:
-            self._hold(track, evidence, tuning, now)
-        elif now - track.since >= tuning.slow_start_s:
-            self.clear(track, now)
-
-    def _hold(self, track, evidence, tuning, now) -> None:
+        self.reset_evidence(record)
+        record.episode = scopes.Episode(now)
+        record.tested_by_copies = self.reporters.any_copies()
+        record.set_state(upstream_record.ON_TRIAL, 0.0, now)
+        self.store.mark_changed(record)
+
+    def _step_tried(self, record, evidence, tuning, now) -> None:
+        if evidence >= tuning.suspect_nats:
+            record.severity = evidence
+            self._eject(record, tuning, 'It failed its trial.', now)
+        elif (
+            record.good_trials >= tuning.min_trials
+            and evidence < tuning.clear_nats
+        ):
+            record.set_state(upstream_record.RETURNING, 1.0, now)
+            self.pool.include(record.upstream)
+            self.store.mark_changed(record)
+            text = 'It answered %d trials well.' % tuning.min_trials
+            self.store.add_event('upstream-returned', record.upstream, text)
+
+    def _step_returning(self, record, evidence, tuning, now) -> None:
+        if evidence >= tuning.suspect_nats:
+            self._suspect(record, evidence, tuning, now)
+        elif now - record.state_since >= tuning.slow_start_s:
+            self.clear(record, now)
+
+    def _suspect(self, record, evidence, tuning, now) -> None:
         """Suspect an upstream: hardly any work, and trials at once."""
-        track.severity = evidence
-        track.scope = scopes.Scope(scopes.EVERYBODY)
-        hard = not self._many(track, now) and self.ledger.room(track)
-        weight = 0.0 if hard else upstream_record.SOFT_WEIGHT
-        track.copied = self.reporters.copies()
-        track.enter(upstream_record.SUSPECTED, weight, now)
-        track.suspected_at = now
-        self.pool.exclude(track.upstream)
-        self.ledger.change(track)
+        record.severity = evidence
+        record.scope = scopes.Scope(scopes.EVERYBODY)
+        floor_allows = not self._common_cause_likely(
+            record, now
+        ) and self.store.floor_allows(record)
+        weight = 0.0 if floor_allows else upstream_record.REDUCED_WEIGHT
+        record.tested_by_copies = self.reporters.any_copies()
+        record.set_state(upstream_record.SUSPECTED, weight, now)
+        record.suspected_at = now
+        self.pool.exclude(record.upstream)
+        self.store.mark_changed(record)
         text = 'Evidence of %.1f nats.' % evidence
-        self.ledger.tell('upstream-suspected', track.upstream, text)
+        self.store.add_event('upstream-suspected', record.upstream, text)
 
-    def _consider(self, track, tuning, now) -> None:
+    def _decide_ejection(self, record, tuning, now) -> None:
         """Eject a suspect, for those whom it fails."""
-        episode = track.episode
-        if episode is None or episode.last_bad - episode.began < tuning.span_s:
+        episode = record.episode
+        if (
+            episode is None
+            or episode.last_bad_at - episode.started_at < tuning.min_bad_span_s
+        ):
             return
-        if track.weighed_at < track.suspected_at and self._many(track, now):
-            track.weighed_at = now
-            self.forget(track)
+        if (
+            record.evidence_reset_at < record.suspected_at
+            and self._common_cause_likely(record, now)
+        ):
+            record.evidence_reset_at = now
+            self.reset_evidence(record)
             return
-        scope = episode.scope(tuning.scope_good, self._share)
+        scope = episode.scope(tuning.scope_min_good, self._usual_share)
         if scope.kind == scopes.UNKNOWN:
-            if now - track.since < tuning.scope_wait_s:
+            if now - record.state_since < tuning.scope_wait_s:
                 return
             scope = scopes.Scope(scopes.EVERYBODY)
         if scope.kind == scopes.REPORTER:
             text = 'Only node %s fails to reach it.' % scope.group
-            self.ledger.tell('path-suspected', track.upstream, text)
-            self.forget(track)
-            self.clear(track, now)
+            self.store.add_event('path-suspected', record.upstream, text)
+            self.reset_evidence(record)
+            self.clear(record, now)
             return
-        track.scope = scope
-        text = 'Evidence of %.1f nats' % track.severity
+        record.scope = scope
+        text = 'Evidence of %.1f nats' % record.severity
         if scope.kind != scopes.EVERYBODY:
             text += ', for %s %s only' % scope
-        self._eject(track, tuning, text + '.', now)
+        self._eject(record, tuning, text + '.', now)
 
-    def _many(self, track: upstream_record.Track, now: float) -> bool:
+    def _common_cause_likely(
+        self, record: upstream_record.UpstreamRecord, now: float
+    ) -> bool:
         """Tell whether many others became suspect at about the same time."""
         others = sum(
-            one.suspected_at > now - MANY_S
-            for one in self.ledger.tracks.values()
-            if one is not track
+            one.suspected_at > now - COMMON_CAUSE_S
+            for one in self.store.records.values()
+            if one is not record
         )
-        size = len(self.ledger.known.table(self.ledger.service))
-        return others >= max(MANY_LEAST, MANY_SHARE * (size - 1))
+        size = len(self.store.index.by_id(self.store.service))
+        return others >= max(COMMON_CAUSE_MIN, COMMON_CAUSE_SHARE * (size - 1))
 
-    def _share(self, kind: str, group: str) -> float:
+    def _usual_share(self, kind: str, group: str) -> float:
         """Return a group's usual share of the attempts at the service."""
         if kind == scopes.REPORTER:
             return self.reporters.share(group)
         if kind == scopes.DATA_CENTRE:
-            return self.reporters.place_share(group)
+            return self.reporters.data_centre_share(group)
         return self.pool.class_share(int(group))
 
-    def _eject(self, track, tuning, text, now) -> None:
-        if not self._room(track):
-            self._refuse(track, now)
+    def _eject(self, record, tuning, text, now) -> None:
+        if not self._floor_allows(record):
+            self._refuse_ejection(record, now)
             return
-        jitter = self.rng.uniform(*JITTER)
-        track.back_off(tuning.backoff_s, jitter, now)
-        track.enter(upstream_record.EJECTED, 0.0, now)
-        self.ledger.change(track)
-        self.ledger.tell('upstream-ejected', track.upstream, text)
-        self.ledger.assert_floor()
-
-    def _room(self, track) -> bool:
-        if track.scope.kind == scopes.CUSTOMER:
+        jitter = self.rng.uniform(*BACKOFF_JITTER)
+        record.back_off(tuning.backoff_s, jitter, now)
+        record.set_state(upstream_record.EJECTED, 0.0, now)
+        self.store.mark_changed(record)
+        self.store.add_event('upstream-ejected', record.upstream, text)
+        self.store.assert_floor()
+
+    def _floor_allows(self, record) -> bool:
+        if record.scope.kind == scopes.CUSTOMER:
             return True
-        place = track.scope.kind == scopes.DATA_CENTRE
-        return self.ledger.room(track, track.scope.group if place else '')
+        data_centre_only = record.scope.kind == scopes.DATA_CENTRE
+        return self.store.floor_allows(
+            record, record.scope.group if data_centre_only else ''
+        )
 
-    def _refuse(self, track, now) -> None:
+    def _refuse_ejection(self, record, now) -> None:
         if (
-            track.state != upstream_record.SUSPECTED
-            or track.weight < upstream_record.OUT
+            record.state != upstream_record.SUSPECTED
+            or record.weight < upstream_record.OUT_OF_SERVICE_WEIGHT
         ):
-            track.enter(
-                upstream_record.SUSPECTED, upstream_record.SOFT_WEIGHT, now
+            record.set_state(
+                upstream_record.SUSPECTED, upstream_record.REDUCED_WEIGHT, now
             )
-            track.scope = scopes.Scope(scopes.EVERYBODY)
-            self.ledger.change(track)
-        if now - track.refused >= REFUSED_EVERY_S:
-            track.refused = now
+            record.scope = scopes.Scope(scopes.EVERYBODY)
+            self.store.mark_changed(record)
+        if now - record.refused_at >= REFUSED_INTERVAL_S:
+            record.refused_at = now
             text = 'The capacity floor allows no further ejection.'
-            self.ledger.tell('ejection-refused-floor', track.upstream, text)
+            self.store.add_event(
+                'ejection-refused-floor', record.upstream, text
+            )
--- a/carawaystair/outlier/tuning.py
+++ b/carawaystair/outlier/tuning.py
@@ -26,50 +26,50 @@
     :param least_s: latencies below this are never unusual.
     """
 
-    suspect: float
-    eject: float
-    clear: float
-    span_s: float
-    trickle: float
+    suspect_nats: float
+    eject_nats: float
+    clear_nats: float
+    min_bad_span_s: float
+    test_share: float
     hold_s: float
     backoff_s: float
     slow_start_s: float
-    trials: int
+    min_trials: int
     scope_wait_s: float
-    scope_good: int
-    least_s: float
+    scope_min_good: int
+    min_latency_s: float
 
 
 FAST = Tuning(
-    suspect=3.5,
-    eject=14.0,
-    clear=1.0,
-    span_s=0.4,
-    trickle=0.1,
+    suspect_nats=3.5,
+    eject_nats=14.0,
+    clear_nats=1.0,
+    min_bad_span_s=0.4,
+    test_share=0.1,
     hold_s=1.0,
     backoff_s=5.0,
     slow_start_s=8.0,
-    trials=8,
+    min_trials=8,
     scope_wait_s=0.6,
-    scope_good=3,
-    least_s=0.02,
+    scope_min_good=3,
+    min_latency_s=0.02,
 )
 CONSERVATIVE = Tuning(
-    suspect=7.0,
-    eject=20.0,
-    clear=1.0,
-    span_s=2.0,
-    trickle=0.2,
+    suspect_nats=7.0,
+    eject_nats=20.0,
+    clear_nats=1.0,
+    min_bad_span_s=2.0,
+    test_share=0.2,
     hold_s=3.0,
     backoff_s=10.0,
     slow_start_s=20.0,
-    trials=12,
+    min_trials=12,
     scope_wait_s=4.0,
-    scope_good=6,
-    least_s=0.04,
+    scope_min_good=6,
+    min_latency_s=0.04,
 )
 
 
-def of(service: manifest.Service) -> Tuning:
+def for_service(service: manifest.Service) -> Tuning:
     """Return the tuning that a service asks for."""
     return FAST if service.detection == manifest.FAST else CONSERVATIVE
--- a/carawaystair/outlier/upstream_index.py
+++ b/carawaystair/outlier/upstream_index.py
@@ -13,17 +13,17 @@
 
 # An upstream that does not say how long it warms up gets so long before its
 # slowness is held against it, seconds.
-LEAST_GRACE_S = 3.0
+MIN_GRACE_S = 3.0
 # Share of work of an upstream that has just started.
 COLD_WEIGHT = 0.1
 # For so long after a life has ended, attempts that began in it may still be
 # told, seconds.
-ENDED_S = 90.0
+FORGET_ENDED_S = 90.0
 
-Renewed = typing.Callable[[interfaces.Upstream], None]
+RestartCallback = typing.Callable[[interfaces.Upstream], None]
 
 
-class Known:
+class UpstreamIndex:
     """The upstreams as this process sees them.
 
     :param directory: the directory.
@@ -35,31 +35,33 @@
     ) -> None:
         self.directory = directory
         self.routing = routing
-        self.tables: dict[str, dict[str, interfaces.Upstream]] = {}
+        self.upstreams_by_service: dict[
+            str, dict[str, interfaces.Upstream]
+        ] = {}
         self.versions: dict[str, int] = {}
         # When each incarnation was first seen; what was there before this
         # process counts as just started too, on the safe side of the floor.
-        self.seen: dict[str, tuple[int, float]] = {}
+        self.first_seen: dict[str, tuple[int, float]] = {}
         # Upstreams that started after this process and still warm up.
         self.cold: dict[str, interfaces.Upstream] = {}
         # When the last life of an upstream that ended did so.
-        self.ended: dict[str, float] = {}
+        self.ended_at: dict[str, float] = {}
         # Called with each upstream that has started again under its id.
-        self.callbacks: list[Renewed] = []
+        self.restart_callbacks: list[RestartCallback] = []
         directory.subscribe(self._changed)
 
     def service(self, name: str) -> manifest.Service:
         """Return what the manifest says of a service."""
         return self.routing().service(name) or manifest.Service()
 
-    def table(self, service: str) -> dict[str, interfaces.Upstream]:
+    def by_id(self, service: str) -> dict[str, interfaces.Upstream]:
         """Return the upstreams of a service by id."""
-        found = self.tables.get(service)
+        found = self.upstreams_by_service.get(service)
         if found is None:
             found = {one.id: one for one in self.directory.upstreams(service)}
-            self.tables[service] = found
+            self.upstreams_by_service[service] = found
             for upstream in found.values():
-                self._see(upstream)
+                self._first_seen(upstream)
         return found
 
     def version(self, service: str) -> int:
@@ -68,41 +70,43 @@
 
     def age(self, upstream: interfaces.Upstream) -> float:
         """Return the seconds since this incarnation was first seen."""
-        return clock.now() - self._see(upstream)
+        return clock.now() - self._first_seen(upstream)
 
-    def warm(self, upstream: interfaces.Upstream) -> bool:
+    def warmed_up(self, upstream: interfaces.Upstream) -> bool:
         """Tell whether its warm-up is over, as seen from here."""
         return self.age(upstream) >= upstream.warmup_s
 
-    def able(self, upstream: interfaces.Upstream) -> bool:
+    def usable(self, upstream: interfaces.Upstream) -> bool:
         """Tell whether it counts as capacity while it is not ejected."""
         return (
             upstream.state == interfaces.UP
-            and self.warm(upstream)
+            and self.warmed_up(upstream)
             and not self.routing().drained(upstream.host, upstream.data_centre)
         )
 
-    def judged(self, upstream: interfaces.Upstream) -> bool:
+    def eligible(self, upstream: interfaces.Upstream) -> bool:
         """Tell whether slowness would be a sign of gray failure.
 
         Cold and draining upstreams are slow for a known reason.
         """
-        return self.age(upstream) >= LEAST_GRACE_S and self.able(upstream)
+        return self.age(upstream) >= MIN_GRACE_S and self.usable(upstream)
 
-    def former(self, upstream: str, started: float) -> bool:
+    def from_earlier_incarnation(self, upstream: str, started: float) -> bool:
         """Tell whether an attempt began in a life that has ended.
 
         :param started: when the attempt began.
         """
-        return started < self.ended.get(upstream, -math.inf)
+        return started < self.ended_at.get(upstream, -math.inf)
 
     def sweep(self, now: float) -> None:
         """Forget lives that ended long ago."""
-        old = [n for n, at in self.ended.items() if now - at > ENDED_S]
+        old = [
+            n for n, at in self.ended_at.items() if now - at > FORGET_ENDED_S
+        ]
         for name in old:
-            del self.ended[name]
+            del self.ended_at[name]
 
-    def ramp(self, upstream: str) -> float:
+    def warmup_share(self, upstream: str) -> float:
         """Return the share of work of an upstream that may be cold."""
         cold = self.cold.get(upstream)
         if cold is None:
@@ -112,30 +116,30 @@
             del self.cold[upstream]
         return min(max(share, COLD_WEIGHT), 1.0)
 
-    def _see(self, upstream: interfaces.Upstream) -> float:
-        seen = self.seen.get(upstream.id)
-        if seen is None or seen[0] != upstream.incarnation:
-            seen = (upstream.incarnation, clock.now())
-            self.seen[upstream.id] = seen
-        return seen[1]
+    def _first_seen(self, upstream: interfaces.Upstream) -> float:
+        first_seen = self.first_seen.get(upstream.id)
+        if first_seen is None or first_seen[0] != upstream.incarnation:
+            first_seen = (upstream.incarnation, clock.now())
+            self.first_seen[upstream.id] = first_seen
+        return first_seen[1]
 
     def _changed(self, upstream: interfaces.Upstream) -> None:
-        self.tables.pop(upstream.service, None)
+        self.upstreams_by_service.pop(upstream.service, None)
         version = self.versions.get(upstream.service, 0)
         self.versions[upstream.service] = version + 1
         if upstream.state == interfaces.GONE:
-            self.seen.pop(upstream.id, None)
+            self.first_seen.pop(upstream.id, None)
             self.cold.pop(upstream.id, None)
-            self.ended[upstream.id] = clock.now()
+            self.ended_at[upstream.id] = clock.now()
             return
-        before = self.seen.get(upstream.id)
+        before = self.first_seen.get(upstream.id)
         new = before is None or before[0] != upstream.incarnation
-        self._see(upstream)
+        self._first_seen(upstream)
         if new and upstream.warmup_s > 0.0:
             self.cold[upstream.id] = upstream
         elif new:
             self.cold.pop(upstream.id, None)
         if new and before is not None:
-            self.ended[upstream.id] = clock.now()
-            for callback in self.callbacks:
+            self.ended_at[upstream.id] = clock.now()
+            for callback in self.restart_callbacks:
                 callback(upstream)
--- a/carawaystair/outlier/upstream_record.py
+++ b/carawaystair/outlier/upstream_record.py
@@ -9,24 +9,24 @@
 HEALTHY = 'healthy'
 SUSPECTED = 'suspected'
 EJECTED = 'ejected'
-TRIED = 'tried'
+ON_TRIAL = 'tried'
 RETURNING = 'returning'
 
 # Weight below which an upstream counts as taken out of service.
-OUT = 0.1
+OUT_OF_SERVICE_WEIGHT = 0.1
 # Weight of a suspect whose hold was softened or refused.
-SOFT_WEIGHT = 0.3
+REDUCED_WEIGHT = 0.3
 # Ejections of late count half after this, seconds.
-FLAP_HALF_S = 300.0
-MOST_DOUBLINGS = 5
-MOST_BACKOFF_S = 300.0
+EJECTIONS_HALF_LIFE_S = 300.0
+MAX_DOUBLINGS = 5
+MAX_BACKOFF_S = 300.0
 # A suspicion lease outlives its hold by this, seconds.
-SLACK_S = 2.0
+LEASE_SLACK_S = 2.0
 MILLI = 1000
 MICRO = 1_000_000
 
 
-class Track:
+class UpstreamRecord:
     """One upstream.
 
     :param upstream: its id.
@@ -36,38 +36,38 @@
     def __init__(self, upstream: str, now: float) -> None:
         self.upstream = upstream
         self.state = HEALTHY
-        self.since = now
+        self.state_since = now
         self.serial = 0
         self.weight = 1.0
-        self.copied = False
+        self.tested_by_copies = False
         self.scope = scopes.Scope(scopes.EVERYBODY)
         self.severity = 0.0
         self.episode: scopes.Episode | None = None
         # Trials answered well and badly in this state.
-        self.good = 0.0
+        self.good_trials = 0.0
         self.backoff_until = now
-        self.flaps = 0.0
-        self.flaps_time = now
-        self.refused = -1e9
-        self.hinted = -1e9
+        self.recent_ejections = 0.0
+        self.recent_ejections_at = now
+        self.refused_at = -1e9
+        self.hinted_at = -1e9
         self.suspected_at = -1e9
         # When the evidence was weighed anew, see ``judge``.
-        self.weighed_at = -1e9
+        self.evidence_reset_at = -1e9
         self.incarnation: int | None = None
         # Whether nodes beyond those that use the service were told.
-        self.told_all = False
+        self.announced_to_all = False
 
-    def enter(self, state: str, weight: float, now: float) -> None:
+    def set_state(self, state: str, weight: float, now: float) -> None:
         """Change the state."""
         self.state = state
         self.weight = weight
-        self.since = now
-        self.good = 0.0
+        self.state_since = now
+        self.good_trials = 0.0
 
-    def flapped(self, now: float) -> float:
+    def decayed_ejections(self, now: float) -> float:
         """Return the ejections of late."""
-        age = now - self.flaps_time
-        return self.flaps * 0.5 ** (age / FLAP_HALF_S)
+        age = now - self.recent_ejections_at
+        return self.recent_ejections * 0.5 ** (age / EJECTIONS_HALF_LIFE_S)
 
     def back_off(self, base_s: float, jitter: float, now: float) -> None:
         """Set the time of the next trial and count this ejection.
@@ -75,15 +75,22 @@
         :param jitter: factor about 1.0, so that upstreams ejected together
             are not tried together.
         """
-        flaps = self.flapped(now)
-        wait = base_s * 2 ** min(flaps, MOST_DOUBLINGS) * jitter
-        self.backoff_until = now + min(wait, MOST_BACKOFF_S)
-        self.flaps, self.flaps_time = flaps + 1.0, now
+        recent_ejections = self.decayed_ejections(now)
+        wait = base_s * 2 ** min(recent_ejections, MAX_DOUBLINGS) * jitter
+        self.backoff_until = now + min(wait, MAX_BACKOFF_S)
+        self.recent_ejections, self.recent_ejections_at = (
+            recent_ejections + 1.0,
+            now,
+        )
 
     def forgettable(self, now: float) -> bool:
         """Tell whether nothing need be remembered of the upstream."""
-        quiet = self.episode is None or self.episode.over(now)
-        return self.state == HEALTHY and quiet and self.flapped(now) < 0.1
+        quiet = self.episode is None or self.episode.ended(now)
+        return (
+            self.state == HEALTHY
+            and quiet
+            and self.decayed_ejections(now) < 0.1
+        )
 
     @property
     def global_scope(self) -> bool:
@@ -91,7 +98,7 @@
         return self.scope.kind == scopes.EVERYBODY
 
     @property
-    def out(self) -> bool:
+    def out_of_service(self) -> bool:
         """Tell whether it is taken out of service for every caller.
 
         One that is coming back is not yet counted as capacity, so that a
@@ -99,7 +106,7 @@
         """
         if self.state == HEALTHY or not self.global_scope:
             return False
-        return self.weight < OUT or self.state == RETURNING
+        return self.weight < OUT_OF_SERVICE_WEIGHT or self.state == RETURNING
 
     def entry(
         self, tuning: tunings.Tuning, trial: float, lease_s: float, now: float
@@ -110,34 +117,36 @@
         :param lease_s: length of an ejection's lease.
         """
         kind, ttl = KINDS[self.state], lease_s
-        tried = self.state in (SUSPECTED, TRIED)
+        on_trial = self.state in (SUSPECTED, ON_TRIAL)
         if self.state == SUSPECTED:
-            ttl = tuning.hold_s + SLACK_S
+            ttl = tuning.hold_s + LEASE_SLACK_S
         elif self.state == RETURNING:
-            ttl = max(self.since + tuning.slow_start_s - now, 0.0)
-        elif self.state == TRIED and not self.copied:
-            kind = messages.HELD
-        place = self.scope.kind == scopes.DATA_CENTRE
-        customer = self.scope.kind == scopes.CUSTOMER
+            ttl = max(self.state_since + tuning.slow_start_s - now, 0.0)
+        elif self.state == ON_TRIAL and not self.tested_by_copies:
+            kind = messages.SUSPECTED
+        data_centre_only = self.scope.kind == scopes.DATA_CENTRE
+        customer_only = self.scope.kind == scopes.CUSTOMER
         return messages.Entry(
             self.upstream,
             kind,
             self.serial,
             int(ttl * MILLI),
             int(self.weight * MILLI),
-            int(trial * MICRO) if tried and self.copied else 0,
+            int(trial * MICRO) if on_trial and self.tested_by_copies else 0,
             int(self.severity * MILLI),
-            self.scope.group if place else '',
-            int(self.scope.group) if customer else -1,
-            int(tuning.trickle * MILLI) if tried and not self.copied else 0,
+            self.scope.group if data_centre_only else '',
+            int(self.scope.group) if customer_only else -1,
+            int(tuning.test_share * MILLI)
+            if on_trial and not self.tested_by_copies
+            else 0,
         )
 
 
 KINDS = {
     HEALTHY: messages.CLEAR,
-    SUSPECTED: messages.HELD,
+    SUSPECTED: messages.SUSPECTED,
     EJECTED: messages.EJECTED,
-    TRIED: messages.EJECTED,
+    ON_TRIAL: messages.EJECTED,
     RETURNING: messages.RETURNING,
 }
 
--- a/carawaystairplug/detector_consecutive.py
+++ b/carawaystairplug/detector_consecutive.py
@@ -11,10 +11,10 @@
 from carawaystair import plugins
 
 # So many failures in a row eject.
-ROW = 5
+FAILURES_IN_A_ROW = 5
 # Failures score far above this, slow answers mostly below.
 FAILURE_SCORE = 4.0
-ENOUGH = 1000.0
+CERTAIN_NATS = 1000.0
 
 
 class Consecutive:
@@ -23,24 +23,30 @@
     pooled: typing.ClassVar[bool] = False
 
     def __init__(self) -> None:
-        self.rows: dict[str, int] = {}
+        self.failures: dict[str, int] = {}
 
     def observe(
         self, upstream: str, score: float, count: float, now: float
     ) -> None:
         """Count a failure, or end the row."""
         if score < FAILURE_SCORE:
-            self.rows.pop(upstream, None)
+            self.failures.pop(upstream, None)
         else:
-            self.rows[upstream] = self.rows.get(upstream, 0) + int(count)
+            self.failures[upstream] = self.failures.get(upstream, 0) + int(
+                count
+            )
 
     def evidence(self, upstream: str, now: float) -> float:
         """Return enough evidence once the row is long enough."""
-        return ENOUGH if self.rows.get(upstream, 0) >= ROW else 0.0
+        return (
+            CERTAIN_NATS
+            if self.failures.get(upstream, 0) >= FAILURES_IN_A_ROW
+            else 0.0
+        )
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Start a new row."""
-        self.rows.pop(upstream, None)
+        self.failures.pop(upstream, None)
 
 
 def make() -> detectors.Detector:
--- a/carawaystairplug/detector_sequential.py
+++ b/carawaystairplug/detector_sequential.py
@@ -12,8 +12,8 @@
 from carawaystair import plugins
 
 # Evidence that nothing confirms fades, seconds for a third.
-FADE_S = 20.0
-MOST = 60.0
+DECAY_S = 20.0
+MAX_NATS = 60.0
 
 
 class Sum(typing.NamedTuple):
@@ -36,7 +36,7 @@
     ) -> None:
         """Move the sum."""
         step = count * detectors.log_likelihood_ratio(score)
-        value = min(self.evidence(upstream, now) + step, MOST)
+        value = min(self.evidence(upstream, now) + step, MAX_NATS)
         if value <= 0.0:
             self.sums.pop(upstream, None)
         else:
@@ -44,12 +44,12 @@
 
     def evidence(self, upstream: str, now: float) -> float:
         """Return the sum, faded."""
-        held = self.sums.get(upstream)
-        if held is None:
+        total = self.sums.get(upstream)
+        if total is None:
             return 0.0
-        return held.value * math.exp((held.time - now) / FADE_S)
+        return total.value * math.exp((total.time - now) / DECAY_S)
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Set the sum to zero."""
         self.sums.pop(upstream, None)
 
--- a/carawaystairplug/detector_siblings.py
+++ b/carawaystairplug/detector_siblings.py
@@ -26,8 +26,8 @@
     :param least: mean scores up to this are healthy.
     """
 
-    memory_s: float
-    least: float
+    decay_s: float
+    min_mean: float
 
 
 WINDOWS = (
@@ -42,63 +42,63 @@
 # upstream where detection is fast, one slow answer is not.
 PENALTY = 1.2
 # The sum fades when nothing confirms it, seconds for a third.
-FADE_S = 30.0
-MOST = 60.0
+DECAY_S = 30.0
+MAX_NATS = 60.0
 
 
 class Tally:
     """Attempts and scores of one upstream."""
 
-    __slots__ = ('time', 'counts', 'sums', 'run')
+    __slots__ = ('time', 'counts', 'sums', 'cusum')
 
     def __init__(self, now: float) -> None:
         self.time = now
         self.counts = [0.0] * len(WINDOWS)
         self.sums = [0.0] * len(WINDOWS)
-        self.run = 0.0
+        self.cusum = 0.0
 
     def add(self, score: float, count: float, now: float) -> None:
         """Add attempts."""
-        gone = self.time - now
+        minus_age_s = self.time - now
         self.time = now
         for index, window in enumerate(WINDOWS):
-            fade = math.exp(gone / window.memory_s)
-            self.counts[index] = self.counts[index] * fade + count
-            self.sums[index] = self.sums[index] * fade + count * score
+            decay = math.exp(minus_age_s / window.decay_s)
+            self.counts[index] = self.counts[index] * decay + count
+            self.sums[index] = self.sums[index] * decay + count * score
 
         step = count * detectors.log_likelihood_ratio(score)
-        run = self.run * math.exp(gone / FADE_S) + step
-        self.run = min(max(run, 0.0), MOST)
+        cusum = self.cusum * math.exp(minus_age_s / DECAY_S) + step
+        self.cusum = min(max(cusum, 0.0), MAX_NATS)
 
     def evidence(self, now: float) -> float:
         """Return the greatest evidence of the sum and all windows."""
-        gone = self.time - now
+        minus_age_s = self.time - now
         return max(
-            self.run * math.exp(gone / FADE_S) - PENALTY,
-            *self._windows(gone),
+            self.cusum * math.exp(minus_age_s / DECAY_S) - PENALTY,
+            *self._windows(minus_age_s),
         )
 
-    def _windows(self, gone: float) -> typing.Iterator[float]:
+    def _windows(self, minus_age_s: float) -> typing.Iterator[float]:
         """Yield the evidence of each window.
 
         :param gone: minus the seconds since the last attempt.
         """
         return (
-            ratio_test(count, total, window.least)
-            * math.exp(gone / window.memory_s)
+            ratio_test(count, total, window.min_mean)
+            * math.exp(minus_age_s / window.decay_s)
             for count, total, window in zip(self.counts, self.sums, WINDOWS)
         )
 
 
-def ratio_test(count: float, total: float, least: float) -> float:
+def ratio_test(count: float, total: float, min_mean: float) -> float:
     """Return the log likelihood ratio for a mean above ``least``.
 
     :param count: attempts.
     :param total: sum of their scores.
     """
-    if count <= 0.0 or total <= count * least:
+    if count <= 0.0 or total <= count * min_mean:
         return 0.0
-    ratio = total / count / least
+    ratio = total / count / min_mean
     return count * (ratio - 1.0 - math.log(ratio))
 
 
@@ -124,7 +124,7 @@
         tally = self.tallies.get(upstream)
         return 0.0 if tally is None else tally.evidence(now)
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Empty the windows."""
         self.tallies.pop(upstream, None)
 
--- a/test/test_outlier_baseline.py
+++ b/test/test_outlier_baseline.py
@@ -15,7 +15,7 @@
 NAMES = ('u0', 'u1', 'u2')
 ROUTE = 7
 QUICK_S, SLOW_S = 0.02, 0.6
-LEAST_S = 0.001
+MIN_LATENCY_S = 0.001
 
 
 class Routing:
@@ -37,11 +37,11 @@
         ]
         directory = fakes.Directory(*upstreams)
         routing = Routing()
-        self.ledger = record_store.Ledger(
-            's', upstream_index.Known(directory, lambda: routing)
+        self.store = record_store.RecordStore(
+            's', upstream_index.UpstreamIndex(directory, lambda: routing)
         )
-        self.routes = levels.Routes()
-        self.part = baseline.Baseline(self.ledger, self.routes)
+        self.routes = levels.RouteLatencies()
+        self.part = baseline.Baseline(self.store, self.routes)
         self.now = 0.0
 
     def answers(self, seconds, slow=()):
@@ -49,20 +49,20 @@
         for _tick, name in itertools.product(range(seconds * 5), NAMES):
             latency_s = SLOW_S if name in slow else QUICK_S
             sample = messages.Sample(
-                ROUTE, int(latency_s * 1e6), levels.short(name)
+                ROUTE, int(latency_s * 1e6), levels.short_id(name)
             )
-            self.part.take([sample], self.now)
+            self.part.add_samples([sample], self.now)
             self.now += 0.2 / len(NAMES)
 
     def suspect(self, *names):
         """Take upstreams for suspects."""
         for name in names:
-            found = self.ledger.track(name, self.now)
+            found = self.store.get_or_add(name, self.now)
             found.state = upstream_record.SUSPECTED
 
     def late(self):
         """Return from which latency on an answer is late, seconds."""
-        return self.routes.bounds(LEAST_S, self.now)[ROUTE].late
+        return self.routes.bounds(MIN_LATENCY_S, self.now)[ROUTE].late
 
 
 def test_slow_suspect_does_not_raise_the_bounds_it_is_judged_by():
@@ -108,7 +108,7 @@
         rig = Rig()
         rig.answers(10)
         sample = messages.Sample(ROUTE, 20_000, 1)
-        rig.part.take([sample] * (baseline.MOST_WAITING + 50), rig.now)
-        assert len(rig.part.waiting) == baseline.MOST_WAITING
+        rig.part.add_samples([sample] * (baseline.MAX_WAITING + 50), rig.now)
+        assert len(rig.part.waiting) == baseline.MAX_WAITING
 
     fakes.run(scenario())
--- a/test/test_outlier_coordinator.py
+++ b/test/test_outlier_coordinator.py
@@ -43,16 +43,16 @@
         self.nodes = nodes
         directory = fakes.Directory(*pool)
         routing = Routing(**changes)
-        self.known = upstream_index.Known(directory, lambda: routing)
-        self.known.table('s')
+        self.index = upstream_index.UpstreamIndex(directory, lambda: routing)
+        self.index.by_id('s')
         self.part = coordinator.Coordinator(
             's',
-            self.known,
+            self.index,
             FACTORIES['siblings'](),
             random.Random(1),
             clock.now(),
         )
-        self.part.settled = True
+        self.part.takeover_done = True
 
     def report(self, node, counts, upstream='u3', tested=0, good=0, kind=0):
         cell = [0] * levels.CATEGORIES
@@ -71,7 +71,7 @@
             1.0,
             (messages.Cell(upstream, kind, tuple(cell), tested),),
         )
-        self.part.take(report, '127.0.0.1:%d' % node, clock.now())
+        self.part.receive_report(report, '127.0.0.1:%d' % node, clock.now())
         self.part.tick(clock.now())
 
     async def healthy(self):
@@ -79,11 +79,11 @@
         for _round in range(20):
             await asyncio.sleep(4)
             for node in range(self.nodes):
-                for upstream in self.known.table('s'):
+                for upstream in self.index.by_id('s'):
                     self.report(node, {}, upstream, good=1)
 
     def events(self):
-        return {event.kind for event in self.part.ledger.events}
+        return {event.kind for event in self.part.store.events}
 
 
 def run(body, **kwargs):
@@ -117,8 +117,8 @@
         assert 'ejection-refused-floor' in bench.events()
         assert 'upstream-ejected' not in bench.events()
         # It is still steered around as far as a weight can.
-        track = bench.part.ledger.tracks['u3']
-        assert 0.0 < track.weight < 1.0 and not track.out
+        record = bench.part.store.records['u3']
+        assert 0.0 < record.weight < 1.0 and not record.out_of_service
 
     run(body, floor_percent=100)
 
@@ -224,11 +224,11 @@
             bench.report(turn % 20, {levels.LATE: 1}, name, kind=4)
             await sleep(0.02)
         await sleep(6)
-        before = len(bench.part.ledger.events)
+        before = len(bench.part.store.events)
         for turn in range(20):
             bench.report(turn, {levels.LATE: 1}, 'u3', kind=4)
             await sleep(0.05)
-        new = bench.part.ledger.events[before:]
+        new = bench.part.store.events[before:]
         assert 'upstream-ejected' not in {event.kind for event in new}
 
     run(body)
@@ -242,9 +242,9 @@
             bench.report(turn, {levels.OVERDUE: 1}, kind=4)
             bench.report(turn, {}, tested=1, good=1, kind=2)
             await sleep(0.05)
-        held = bench.part.ledger.held()
+        held = bench.part.store.unhealthy()
         assert held[0].scope == scope.Scope(scope.CUSTOMER, '4')
-        assert not held[0].out
+        assert not held[0].out_of_service
 
     run(body)
 
@@ -254,14 +254,14 @@
 
     async def body(bench, sleep):
         for node in range(20):
-            bench.report(node, {levels.ILL: 1}, 'u1')
+            bench.report(node, {levels.REPORTED_ILL: 1}, 'u1')
             await sleep(0.2)
         assert not bench.events()
         for node in range(6):
-            bench.report(node, {levels.OVERDUE: 1, levels.WELL: 1})
+            bench.report(node, {levels.OVERDUE: 1, levels.REPORTED_WELL: 1})
             await sleep(0.1)
-        track = bench.part.ledger.tracks['u3']
-        assert track.state == 'ejected'
+        record = bench.part.store.records['u3']
+        assert record.state == 'ejected'
 
     run(body)
 
@@ -275,10 +275,10 @@
             for node in range(10):
                 bench.report(node, {levels.OVERDUE: 1})
                 await sleep(0.06)
-            track = bench.part.ledger.tracks['u3']
-            assert track.state == 'ejected'
-            waits.append(track.backoff_until - track.since)
-            await sleep(track.backoff_until - clock.now() + 0.1)
+            record = bench.part.store.records['u3']
+            assert record.state == 'ejected'
+            waits.append(record.backoff_until - record.state_since)
+            await sleep(record.backoff_until - clock.now() + 0.1)
             bench.part.tick(clock.now())
         assert all(b > 1.5 * a for a, b in zip(waits, waits[1:]))
 
--- a/test/test_outlier_fleet.py
+++ b/test/test_outlier_fleet.py
@@ -43,7 +43,7 @@
     return next(
         node
         for node in world.frontends
-        if any(seat.leading for seat in node.outlier.lead.seats.values())
+        if any(role.leading for role in node.outlier.leadership.roles.values())
     )
 
 
@@ -218,7 +218,9 @@
         leaders = [
             node
             for node in world.frontends
-            if any(seat.leading for seat in node.outlier.lead.seats.values())
+            if any(
+                role.leading for role in node.outlier.leadership.roles.values()
+            )
         ]
         assert len(leaders) == 1
 
--- a/test/test_outlier_floor.py
+++ b/test/test_outlier_floor.py
@@ -15,14 +15,14 @@
     return interfaces.Upstream(name, 's', '', '', '', slots, state=state)
 
 
-def able(_upstream):
+def usable(_upstream):
     return True
 
 
 def test_half_of_the_pool_may_go_and_no_more():
     pool = [upstream(number) for number in range(8)]
     wanted = [one.id for one in pool]
-    allowed = floor.clamp(manifest.Service(), pool, wanted, able)
+    allowed = floor.clamp(manifest.Service(), pool, wanted, usable)
     assert allowed == frozenset(wanted[:4])
 
 
@@ -33,7 +33,7 @@
         manifest.Service(floor_percent=0, floor_slots=40),
         manifest.Service(floor_percent=0, floor_slots=4000),
     ):
-        assert not floor.clamp(config, pool, ['u1'], able)
+        assert not floor.clamp(config, pool, ['u1'], usable)
 
 
 @hypothesis.given(
@@ -61,10 +61,10 @@
     config = manifest.Service(floor_percent=percent, floor_slots=slots)
     wanted = random.sample([one.id for one in pool], len(pool))
 
-    def able(one):
+    def usable(one):
         return one.state == interfaces.UP and one.id not in cold
 
-    allowed = floor.clamp(config, pool, wanted, able)
+    allowed = floor.clamp(config, pool, wanted, usable)
     known = sum(one.slots for one in pool)
     left = sum(
         one.slots
--- a/test/test_outlier_lifetimes.py
+++ b/test/test_outlier_lifetimes.py
@@ -24,15 +24,15 @@
             await sleep(0.1)
         assert 'upstream-ejected' in bench.events()
         new = coordinators.POOL[3]._replace(incarnation=9)
-        bench.known.directory.put(new)
+        bench.index.directory.put(new)
         bench.part.tick(clock.now())
-        assert bench.part.ledger.held() == ()
+        assert bench.part.store.unhealthy() == ()
         assert bench.part.detector.evidence('u3', clock.now()) == 0.0
         assert 'u3' not in bench.part.pool.tables
         # What nodes still report of the former life counts for nothing.
         bench.report(0, {levels.OVERDUE: 3})
         bench.part.tick(clock.now())
-        assert bench.part.ledger.held() == ()
+        assert bench.part.store.unhealthy() == ()
 
     coordinators.run(body)
 
@@ -42,7 +42,7 @@
         bench.report(0, {levels.OVERDUE: 1})
         assert bench.part.detector.evidence('u3', clock.now()) > 0.0
         new = coordinators.POOL[3]._replace(incarnation=9)
-        bench.known.directory.put(new)
+        bench.index.directory.put(new)
         bench.part.tick(clock.now())
         assert bench.part.detector.evidence('u3', clock.now()) == 0.0
 
@@ -59,7 +59,7 @@
     async def story():
         directory = fakes.Directory(*(nodes.upstream(n) for n in range(8)))
         part = nodes.node(directory)
-        part.known.table('s')
+        part.index.by_id('s')
         part.record(nodes.attempt('u1', interfaces.TIMEOUT))
         part.health.accept(nodes.state(nodes.entry('u1')))
         assert part.ejected('s') == {'u1'}
@@ -75,7 +75,7 @@
     async def story():
         directory = fakes.Directory(*(nodes.upstream(n) for n in range(8)))
         part = nodes.node(directory, detector='consecutive')
-        part.known.table('s')
+        part.index.by_id('s')
         for _time in range(4):
             part.record(nodes.attempt('u2', interfaces.BROKEN))
         for _time in range(5):
@@ -100,7 +100,7 @@
     async def story():
         directory = fakes.Directory(*(nodes.upstream(n) for n in range(8)))
         part = nodes.node(directory)
-        part.known.table('s')
+        part.index.by_id('s')
         outbox = nodes.paced(part)
         began = clock.now()
         part.begin('s', 'u1', 'c', began)
--- a/test/test_outlier_node.py
+++ b/test/test_outlier_node.py
@@ -66,10 +66,10 @@
 
 def paced(part):
     """Give a node bounds for the empty route: 10 to 160 ms."""
-    outbox = part.evidence.reporter.outbox('s', clock.now())
+    outbox = part.evidence.outboxes.outbox('s', clock.now())
     bounds = (10_000, 20_000, 40_000, 80_000, 160_000)
-    row = messages.RouteBounds(levels.short(''), bounds)
-    outbox.take_pace(messages.Pace('s', 1, 60_000, 100, 3, (row,)))
+    row = messages.RouteBounds(levels.short_id(''), bounds)
+    outbox.apply_pace(messages.Pace('s', 1, 60_000, 100, 3, (row,)))
     return outbox
 
 
@@ -296,7 +296,7 @@
     async def story():
         part = node(fakes.Directory(upstream(1), upstream(2)))
         reports = []
-        part.evidence.tell = reports.append
+        part.evidence.send_report = reports.append
         paced(part)
         part.begin('s', 'u1', 'c', clock.now())
         await asyncio.sleep(0.001)
