--- a/carawaystair/outlier/__init__.py
+++ b/carawaystair/outlier/__init__.py
@@ -1,14 +1,16 @@
-"""Outlier detection: which upstreams get no work, or less of it.
-
-At each node, ``evidence`` takes note of attempts (with ``watch`` for those in
-flight), ``health`` says what follows for the request path (``local`` soft
-weights, ``held`` leases, ``view`` with the clamp to the ``floor``) and
-``reporter`` tells the coordinator of the service.
-
-At the coordinator of a service, ``lead`` sees to epochs and handover,
-``intake`` pools the reports (``pool``, ``shares``, ``levels``), a detector
-plug-in weighs them (``detectors``), ``judge`` decides within the floor
-(``ledger``, ``scope``, ``allbad``) and ``seat`` sends.
+"""Outlier detection: takes slow or failing upstreams out of service.
+
+At each node, ``evidence`` records attempts (``in_flight`` those that are still
+running), ``health`` answers the questions of the request path
+(``local_weights``, ``node_leases``, and ``effective_state``, which clamps them
+to the capacity ``floor``), and ``report_outbox`` collects reports for the
+coordinator of each service.
+
+At the coordinator of a service, ``leadership`` handles epochs and takeovers,
+``ingestion`` pools the reports (``evidence_pool``, ``level_counts``,
+``levels``), a detector plug-in computes the evidence (``detectors``),
+``state_machine`` decides within the floor (``record_store``, ``scope``,
+``service_outage``) and ``coordinator_role`` sends the results.
 """
 
 import importlib
@@ -17,16 +19,17 @@
 
 
 def make(kernel, members, directory, routing) -> mode.Service:
-    """Return the outlier detection of a node.
+    """Return the outlier detection service of a node.
 
-    Its parts are imported only by nodes that have it: a gateway uses a module
-    or two of this package, and its start should not pay for all.
+    Its modules are imported only by nodes that run it: a gateway uses one or
+    two modules of this package, and importing all of them would slow its
+    start.
 
     :param kernel: the process, see ``kernel.Kernel``.
     :param members: an ``interfaces.Members``.
     :param directory: an ``interfaces.Directory``.
     :param routing: a callable that returns the current routing.
-    :return: keeps ``interfaces.Health`` and ``interfaces.Evidence``.
+    :return: implements ``interfaces.Health`` and ``interfaces.Evidence``.
     """
     service = importlib.import_module('carawaystair.outlier.service')
     return service.OutlierDetection(
--- a/carawaystair/outlier/baseline.py
+++ b/carawaystair/outlier/baseline.py
@@ -1,10 +1,10 @@
-"""Which latencies become the usual ones of a route.
+"""Selects the latency samples that define the usual latencies of a route.
 
-The bounds of a route are worked out from good answers.  When one of three
-upstreams turns slow, a third of those answers are its own; taken as they come
-they raise the bounds within seconds until its answers count as usual and it
-is never ejected.  So samples wait for a few seconds, longer than it takes to
-suspect an upstream, and those of a suspect are dropped then.
+The bounds of a route are computed from good answers.  When one of three
+upstreams turns slow, a third of those answers are its own; used as they come
+they raise the bounds within seconds until its answers count as usual and it is
+never ejected.  Samples are therefore held back for longer than it takes to
+suspect an upstream, and those of suspects are then dropped.
 """
 
 import collections
@@ -15,24 +15,24 @@
 from carawaystair.outlier import record_store
 from carawaystair.outlier import upstream_record
 
-# Samples wait so long once their route has bounds, seconds.
+# Samples are held back for this time once their route has bounds, seconds.
 SAMPLE_DELAY_S = 5.0
-# More of them waiting are let go, the oldest first.
+# Samples held back; above this the oldest are dropped.
 MAX_WAITING = 2000
 
 
 class WaitingSample(typing.NamedTuple):
-    """One sample with the time at which it came."""
+    """One sample with the time of its arrival."""
 
     received_at: float
     sample: messages.Sample
 
 
 class Baseline:
-    """Lets samples into the routes' latencies.
+    """Adds samples to the latencies of routes.
 
-    :param ledger: says which upstreams are suspects.
-    :param routes: takes the latencies.
+    :param store: tells which upstreams are suspected.
+    :param routes: the latencies to add to.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
     def add_samples(
         self, samples: typing.Iterable[messages.Sample], now: float
     ) -> None:
-        """Take the samples of one report, and let in what has waited."""
+        """Hold back new samples, and add those held back for long enough."""
         for sample in samples:
             if self.routes.has_bounds(sample.route, now):
                 self.waiting.append(WaitingSample(now, sample))
@@ -68,10 +68,10 @@
         self.routes.add(sample.route, sample.latency_us / 1e6, now)
 
     def _suspects(self) -> frozenset[int]:
-        """Return the suspects, unless they are most of the upstreams.
+        """Return the short ids of suspects, or none if they are the majority.
 
-        When most of them are slow the service is, and the bounds must
-        follow; otherwise they would stay suspects for ever.
+        When most upstreams are slow the service itself is, and the bounds must
+        follow; otherwise the upstreams would stay suspected for ever.
         """
         upstreams = self.store.index.by_id(self.store.service)
         suspects = [
--- a/carawaystair/outlier/coordinator.py
+++ b/carawaystair/outlier/coordinator.py
@@ -1,7 +1,7 @@
 """The coordinator of one service.
 
-It decides on pooled evidence and never grants an ejection below the floor.
-It sends nothing itself; ``lead`` sends what its ledger says has changed.
+It decides on pooled evidence and never grants an ejection below the floor.  It
+sends nothing itself; ``leadership`` sends the changes in its record store.
 """
 
 import random
@@ -22,21 +22,22 @@
 from carawaystair.outlier import upstream_index
 from carawaystair.outlier import upstream_record
 
-# Copies to an upstream under trial, as a multiple of its usual share.
+# Copies sent to an upstream on trial, as a multiple of its usual share, and
+# the greatest chance that one request is copied.
 TRIAL_SHARE_FACTOR = 2.0
 MAX_TRIAL_CHANCE = 0.5
 CLEANUP_INTERVAL_S = 5.0
-# An adopted upstream is not given up as gone before the directory of this
-# process had time to hear of it, seconds.
+# An upstream that is missing in the directory is treated as gone only after
+# this time, so that the directory of this process can learn of it, seconds.
 MISSING_GRACE_S = 10.0
 
 
 class Coordinator:
-    """Decides for one service.
+    """Decides on the upstreams of one service.
 
     :param service: its name.
-    :param known: the upstreams.
-    :param detector: weighs the evidence.
+    :param index: the upstreams.
+    :param detector: computes the evidence.
     :param rng: source of randomness.
     :param now: monotonic time.
     """
@@ -67,13 +68,14 @@
         )
         self.cleaned_at = now
         self.last_report_at = now
-        # Nothing may be granted before earlier grants are known.
+        # Nothing may be granted before the grants of earlier coordinators are
+        # known.
         self.takeover_done = False
 
     def receive_report(
         self, report: messages.Report, address: str, now: float
     ) -> None:
-        """Take the report of a node and decide."""
+        """Add the report of a node and decide on the upstreams in it."""
         self.last_report_at = now
         names = self.ingestion.ingest(report, address, now)
         self._evaluate(
@@ -81,15 +83,15 @@
         )
 
     def tick(self, now: float) -> None:
-        """Do what time alone brings about."""
+        """Apply the changes that depend on time alone."""
         self._apply_directory(now)
-        held = [record.upstream for record in self.store.unhealthy()]
+        unhealthy = [record.upstream for record in self.store.unhealthy()]
         if self.service_outage.tick(now):
-            for name in held:
+            for name in unhealthy:
                 self.state_machine.reset_evidence(self.store.records[name])
                 self.state_machine.clear(self.store.records[name], now)
         else:
-            self._evaluate(held, now)
+            self._evaluate(unhealthy, now)
         if now - self.cleaned_at >= CLEANUP_INTERVAL_S:
             self.cleaned_at = now
             self._clean_up(now)
@@ -100,7 +102,7 @@
         lease_s: float,
         now: float,
     ) -> messages.Entry:
-        """Return what nodes are told of one upstream."""
+        """Return the entry of one upstream for nodes."""
         trial = 0.0
         if record.tested_by_copies:
             table = self.index.by_id(self.service).values()
@@ -111,14 +113,14 @@
     def entries(
         self, lease_s: float, now: float
     ) -> tuple[messages.Entry, ...]:
-        """Return what nodes are told."""
+        """Return the entries for nodes."""
         return tuple(
             self.entry(record, lease_s, now)
             for record in self.store.unhealthy()
         )
 
     def digest(self, now: float) -> int:
-        """Return the digest of what nodes should hold."""
+        """Return the digest of the entries that nodes should hold."""
         tuning = self.tuning()
         return node_leases.digest(
             record.entry(tuning, 0.0, 0.0, now)
@@ -126,7 +128,7 @@
         )
 
     def phases(self, lease_s: float, now: float) -> tuple[messages.Phase, ...]:
-        """Return what a standby needs to know."""
+        """Return the state for a standby."""
         return tuple(
             messages.Phase(
                 self.entry(record, lease_s, now),
@@ -139,13 +141,13 @@
     def adopt(
         self, phases: typing.Iterable[messages.Phase], now: float
     ) -> None:
-        """Take over what an earlier coordinator granted."""
+        """Adopt the grants of an earlier coordinator."""
         for phase in phases:
             if phase.entry.upstream not in self.store.records:
                 self._adopt(phase, now)
 
     def tuning(self) -> tunings.Tuning:
-        """Return the tuning that the manifest asks for."""
+        """Return the tuning of the service."""
         return tunings.for_service(self.index.service(self.service))
 
     def _evaluate(self, names: typing.Iterable[str], now: float) -> None:
@@ -174,13 +176,13 @@
             now,
         )
         record.severity = entry.severity / 1000
-        # A node knows no backoff; without one the trial comes soon.
+        # A node sends no backoff; the trial then comes at once.
         record.backoff_until = now + phase.backoff_ms / 1000
         self.pool.exclude(entry.upstream)
         self.store.mark_changed(record)
 
     def _apply_directory(self, now: float) -> None:
-        """Let go of upstreams that are gone, and of lives that are over."""
+        """Clear upstreams that are gone or have restarted."""
         table = self.index.by_id(self.service)
         for record in list(self.store.records.values()):
             upstream = table.get(record.upstream)
@@ -197,7 +199,7 @@
     def _reset_record(
         self, record: upstream_record.UpstreamRecord, now: float
     ) -> None:
-        """Hold nothing of its former life against an upstream."""
+        """Clear an upstream that has restarted."""
         self.state_machine.reset_evidence(record)
         self.state_machine.clear(record, now)
         self.pool.remove(record.upstream)
--- a/carawaystair/outlier/coordinator_role.py
+++ b/carawaystair/outlier/coordinator_role.py
@@ -1,4 +1,4 @@
-"""One service that a process coordinates, and what it sends for it."""
+"""The role of coordinator for one service: its coordinator and sending."""
 
 import typing
 
@@ -8,19 +8,19 @@
 from carawaystair.outlier import report_pace
 from carawaystair.outlier import upstream_record
 
-# Length of an ejection's lease, seconds.  It grows with the members: to renew
-# it takes members / (lease / RENEWALS) datagrams a second.
+# Length of an ejection's lease, seconds.  It grows with the number of members:
+# renewals take members / (lease / RENEWALS_PER_LEASE) datagrams a second.
 LEASE_S = 15.0
 MAX_LEASE_S = 90.0
 RENEWALS_PER_S = 40.0
 RENEWALS_PER_LEASE = 3.0
 MIRROR_INTERVAL_S = 5.0
-# Bytes of entries in one datagram, and what an entry takes beside names.
+# Bytes of entries in one datagram, and bytes of an entry without its id.
 CHUNK_BYTES = 1000
 ENTRY_BYTES = 40
 
-# Upstreams in these states are told to all members, not only to the nodes
-# that use the service now: others may send it their first request.
+# Upstreams in these states are announced to all members, not only to nodes
+# that use the service now: other nodes may send them their first request.
 ANNOUNCED_STATES = frozenset(
     (
         upstream_record.EJECTED,
@@ -31,7 +31,7 @@
 
 
 class Sender(typing.Protocol):
-    """Sends datagrams, see ``outgoing.Outgoing``."""
+    """Sends datagrams, see ``paced_sender.PacedSender``."""
 
     def send(self, addresses: typing.Iterable[str], messages) -> None:
         """Send each message to each address."""
@@ -58,16 +58,17 @@
         self.sender = sender
         self.pacer = report_pace.Pacer(coordinator.service, now)
         self.epoch = 0
-        # Whether this process is the coordinator, as it sees the members.
+        # Whether this process is the coordinator by its own view of the
+        # members.
         self.leading = False
         self.takeover_at = -1e9
         self.asked_nodes: set[str] = set()
         self.mirrored_at = now
-        # How far the round of renewals has come among the members.
+        # Position among the members of the current round of renewals.
         self.renewal_position = 0.0
 
     def lease_s(self, members: typing.Sized) -> float:
-        """Return the length of an ejection's lease."""
+        """Return the length of an ejection's lease, seconds."""
         wanted = len(members) / RENEWALS_PER_S * RENEWALS_PER_LEASE
         return min(max(wanted, LEASE_S), MAX_LEASE_S)
 
@@ -77,7 +78,7 @@
         standby: interfaces.Member | None,
         now: float,
     ) -> None:
-        """Tell nodes what has changed."""
+        """Send the changed entries to nodes."""
         store = self.coordinator.store
         if not store.changed:
             return
@@ -111,7 +112,7 @@
         members: typing.Sequence[interfaces.Member],
         now: float,
     ) -> None:
-        """Tell one node what its report shows that it lacks."""
+        """Send one node what its report shows that it lacks."""
         if report.bounds != self.pacer.version:
             self.sender.send((address,), self.pacer.pace_messages())
         digest = self.coordinator.digest(now)
@@ -121,7 +122,7 @@
     def full_state(
         self, members: typing.Sequence[interfaces.Member], now: float
     ) -> tuple[messages.State, ...]:
-        """Return all that nodes should hold."""
+        """Return the messages with all entries that nodes should hold."""
         entries = self.coordinator.entries(self.lease_s(members), now)
         return self._state_messages(entries, True)
 
@@ -133,7 +134,7 @@
     ) -> None:
         """Renew the leases of the next few members.
 
-        :param passed_s: since the last call.
+        :param passed_s: seconds since the last call.
         """
         if not self.coordinator.store.unhealthy() or not members:
             return
@@ -154,7 +155,7 @@
         standby: interfaces.Member | None,
         now: float,
     ) -> None:
-        """Tell the standby what it needs to take over."""
+        """Send the standby the state that it needs to take over."""
         self.mirrored_at = now
         if standby is None:
             return
@@ -172,7 +173,7 @@
         self, entries, full=False
     ) -> tuple[messages.State, ...]:
         chunks = _chunks(entries, [len(one.upstream) for one in entries])
-        # Only a state in one piece can say what is no longer held.
+        # A state in several datagrams can't tell which leases have ended.
         full = full and len(chunks) <= 1
         return tuple(
             messages.State(
@@ -183,7 +184,7 @@
 
 
 def _chunks(items: typing.Sequence, sizes: typing.Sequence[int]) -> list:
-    """Cut items so that each piece fits a datagram."""
+    """Split items so that each chunk fits a datagram."""
     chunks: list[list] = []
     room = 0
     for item, size in zip(items, sizes):
--- a/carawaystair/outlier/detectors.py
+++ b/carawaystair/outlier/detectors.py
@@ -1,8 +1,8 @@
-"""What an outlier detector is: a plug-in that weighs evidence.
+"""Interface of outlier detectors: plug-ins that compute evidence.
 
-Every attempt becomes a score: how surprising it would be from a healthy
+Every attempt is given a score: how improbable it would be from a healthy
 sibling, in nats.  Scores of healthy upstreams average 1.0, whatever the
-service; those of a hung one are about 7.  A detector adds them up.
+service; those of a hung one are about 7.  A detector accumulates them.
 """
 
 import math
@@ -10,10 +10,11 @@
 
 
 class Detector(typing.Protocol):
-    """Weighs the scores of the upstreams of one service.
+    """Computes the evidence against the upstreams of one service.
 
     :cvar pooled: True for a detector that runs at the coordinator on the
-        evidence of all nodes, False for one that each node runs on its own.
+        evidence of all nodes, False for one that runs at each node on the
+        node's own evidence.
     """
 
     pooled: typing.ClassVar[bool]
@@ -21,10 +22,10 @@
     def observe(
         self, upstream: str, mean_score: float, count: float, now: float
     ) -> None:
-        """Take note of attempts.
+        """Add attempts.
 
         :param score: of each of them, see the module.
-        :param count: how many; negative to take earlier ones back.
+        :param count: how many; negative to retract earlier ones.
         :param now: monotonic time; never runs backwards.
         """
 
@@ -35,11 +36,11 @@
         """
 
     def reset(self, upstream: str) -> None:
-        """Start anew for an upstream."""
+        """Drop the evidence against an upstream."""
 
 
-# Scores of a gray upstream are taken as exponential with the mean
-# 1 / (1 - TILT) = 5, those of a healthy one with the mean 1.
+# Scores of an upstream with a gray failure are modelled as exponential with
+# mean 1 / (1 - TILT) = 5, those of a healthy one with mean 1.
 TILT = 0.8
 TILT_BASE = math.log(1.0 - TILT)
 
@@ -49,9 +50,9 @@
 def mean_score(upper: float, lower: float = 0.0) -> float:
     """Return the mean score of attempts between two tail shares.
 
-    With P the share of siblings' attempts that are at least as bad, -ln P of
-    a healthy upstream's attempts is exponential with mean 1 (Fisher, 1932).
-    Attempts come in levels, so the mean over the level is taken.
+    With P the share of siblings' attempts that are at least as bad, -ln P of a
+    healthy upstream's attempts is exponential with mean 1 (Fisher, 1932).
+    Attempts are known by level only, so this is the mean over the level.
 
     :param upper: share of attempts at this level or worse.
     :param lower: share of attempts at a worse level.
--- a/carawaystair/outlier/effective_state.py
+++ b/carawaystair/outlier/effective_state.py
@@ -1,4 +1,4 @@
-"""What a node does with the leases that it holds, after its own clamp."""
+"""What the leases of a service mean at one node, clamped to the floor."""
 
 import random
 import typing
@@ -11,31 +11,31 @@
 from carawaystair.outlier import tuning as tunings
 from carawaystair.outlier import upstream_index
 
-# Share of work of an upstream whose ejection the floor does not allow here.
+# Share of work of an upstream whose ejection the floor doesn't allow here.
 CLAMPED_WEIGHT = 0.2
 OUT_OF_SERVICE_MILLI = 100
-# A returning upstream starts with this share of its work.
+# Share of work with which a returning upstream starts.
 MIN_SHARE = 0.1
-# Weight for the other requests: only when all others are full.
+# Weight for the other requests: used only when all other upstreams are full.
 MIN_WEIGHT = 0.02
-# A view is worked out again after this even when nothing was heard: leases
+# The state is computed again after this time even without a message: leases
 # end and upstreams get warm by time alone.
 REFRESH_INTERVAL_S = 1.0
 
 
 class WeightFactor(typing.NamedTuple):
-    """What a lease makes of the weight of an upstream.
+    """Factor of a lease on the weight of an upstream.
 
-    Where a share of the work is meant, that share of the requests sees full
-    weight and the others hardly any: with a small weight for all of them, a
+    A share of the work is given as full weight for that share of the requests
+    and hardly any for the others: with a small weight for all requests, a
     balancer that compares two upstreams would hardly ever choose it.
 
     :param weight: 0.0 to 1.0.
     :param customer_class: for this class only, or -1.
-    :param share: of the requests that see full weight.
-    :param full_at: monotonic time at which a returning upstream has its
+    :param full_share: of the requests that see full weight.
+    :param full_share_at: monotonic time at which a returning upstream has its
         whole share; 0.0 for others.
-    :param ramp_s: how long that takes, seconds.
+    :param ramp_s: length of its slow start, seconds.
     """
 
     weight: float
@@ -45,7 +45,7 @@
     ramp_s: float = 1.0
 
     def draw(self, customer: str, now: float, rng: random.Random) -> float:
-        """Return the factor for a request of a customer."""
+        """Return the factor for one request of a customer, drawn at random."""
         if self.customer_class >= 0:
             if not customer:
                 return 1.0
@@ -59,7 +59,7 @@
 
 
 class Trial(typing.NamedTuple):
-    """An upstream that wants copies of requests.
+    """An upstream to which requests are copied as trials.
 
     :param upstream: its id.
     :param chance: that a request is copied.
@@ -70,13 +70,13 @@
 
 
 class EffectiveState(typing.NamedTuple):
-    """What holds at this node for one service.
+    """The effective state of one service at this node.
 
     :param ejected: ids that get no new work.
-    :param factors: by upstream.
-    :param trials: upstreams that want copies.
-    :param version: of the upstreams it was worked out from.
-    :param until: monotonic time until which it holds.
+    :param factors: on the weights, by upstream.
+    :param trials: upstreams to which requests are copied.
+    :param version: of the upstreams it was computed from.
+    :param until: monotonic time until which it is valid.
     """
 
     ejected: frozenset[str]
@@ -101,11 +101,11 @@
     locally_ejected: typing.Collection[str],
     now: float,
 ) -> EffectiveState:
-    """Work out the view of one service.
+    """Return the effective state of one service.
 
     :param data_centre: of this node.
-    :param leases: what coordinators granted.
-    :param own: ids that this node ejects by itself.
+    :param leases: granted by coordinators.
+    :param locally_ejected: ids that this node ejects on its own.
     """
     config = index.service(service)
     upstreams = tuple(index.by_id(service).values())
@@ -121,8 +121,8 @@
     }
 
     def usable(upstream) -> bool:
-        # One that is coming back is not yet capacity: a second loss right
-        # after its return must not find the floor spent already.
+        # A returning upstream is not yet capacity: a second loss right after
+        # its return must not find the floor already used up.
         return upstream.id not in returning and index.usable(upstream)
 
     wanted = [*_by_severity(applicable), *sorted(locally_ejected)]
@@ -162,7 +162,7 @@
         and entry.kind in (messages.EJECTED, messages.SUSPECTED)
         and entry.weight < OUT_OF_SERVICE_MILLI
     ]
-    # Ejections go before suspicions.
+    # Ejections come before suspicions.
     removed.sort(key=lambda one: (-one.kind, -one.severity, one.upstream))
     return [entry.upstream for entry in removed]
 
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -1,4 +1,4 @@
-"""Takes note of this node's attempts and tells coordinators of them."""
+"""Records this node's attempts and reports them to coordinators."""
 
 import asyncio
 import random
@@ -18,11 +18,11 @@
 from carawaystair.outlier import tuning as tunings
 from carawaystair import timeline as timelines
 
-# Bad attempts that come together travel together, seconds.
+# Bad attempts within this time share a report, seconds.
 BATCH_DELAY_S = 0.004
 PATH_EVENT_INTERVAL_S = 30.0
 
-# Outcomes other than good answers, as categories of a report.
+# Categories of outcomes other than good answers.
 OUTCOME_CATEGORIES = {
     interfaces.ERROR: levels.ERROR,
     interfaces.TIMEOUT: levels.BROKEN,
@@ -38,12 +38,12 @@
 
 
 class Evidence:
-    """Keeps ``interfaces.Evidence``.
+    """Implements ``interfaces.Evidence``.
 
     :param health: this node's health of upstreams.
     :param send_report: sends a report to the coordinator of its service.
-    :param make_detector: makes the detector of a service.
-    :param timeline: takes events.
+    :param make_detector: returns a new detector for a service.
+    :param timeline: records events.
     :param rng: source of randomness.
     """
 
@@ -70,7 +70,7 @@
         health.index.restart_callbacks.append(self.on_restart)
 
     def on_restart(self, upstream: interfaces.Upstream) -> None:
-        """SendReport nothing more of the former life of an upstream."""
+        """Drop unsent attempts of an upstream's earlier incarnation."""
         outbox = self.outboxes.by_service.get(upstream.service)
         if outbox is not None:
             outbox.drop_upstream(upstream.id)
@@ -84,7 +84,7 @@
         route: str = '',
         fresh: bool = True,
     ) -> None:
-        """Take note that an attempt starts."""
+        """Record the start of an attempt."""
         outbox = self.outboxes.outbox(service, started)
         bounds = outbox.bounds.get(levels.short_id(route))
         pending = in_flight.PendingAttempt(
@@ -99,7 +99,7 @@
         self.in_flight.begin(pending)
 
     def record(self, attempt: interfaces.Attempt) -> None:
-        """Take note of one attempt that ended."""
+        """Record the end of an attempt."""
         now = clock.now()
         pending = self.in_flight.end(attempt.upstream, attempt.started)
         outcome = attempt.outcome
@@ -108,7 +108,7 @@
         if self.health.index.from_earlier_incarnation(
             attempt.upstream, attempt.started
         ):
-            # What a life that is over did says nothing of the next one.
+            # An earlier incarnation is no evidence for the current one.
             return
         if outcome == interfaces.SHED:
             factor = local_weights.OUTCOME_FACTORS[outcome]
@@ -124,7 +124,7 @@
             outbox.add_sample(route, attempt.upstream, latency_s, self.rng)
         customer_class = levels.customer_class(attempt.customer)
         if outcome == interfaces.SILENT and pending and pending.reported_level:
-            # The connection was at fault; the upstream gets its share back.
+            # The connection was at fault, not the upstream.
             self.health.weights.reset(attempt.upstream)
         self._react_locally(attempt, category, now)
         if not self._uses_pooled_evidence(attempt.service):
@@ -146,25 +146,27 @@
             self._schedule_flush(outbox)
 
     def record_health_hint(
-        self, service: str, upstream: str, ill: bool
+        self, service: str, upstream: str, unhealthy: bool
     ) -> None:
-        """Take note of what a health or load endpoint says.
+        """Record the result of a health or load endpoint.
 
-        It raises suspicion a little or speeds a return; it never clears an
-        upstream that fails real work.
+        It raises suspicion a little or brings a trial forward; it never clears
+        an upstream that fails real work.
         """
         outbox = self.outboxes.outbox(service, clock.now())
-        category = levels.REPORTED_ILL if ill else levels.REPORTED_WELL
+        category = (
+            levels.REPORTED_UNHEALTHY if unhealthy else levels.REPORTED_HEALTHY
+        )
         outbox.add(upstream, 0, category, 1)
 
     def apply_pace(self, pace: messages.Pace) -> None:
-        """Follow the pace that a coordinator sets."""
+        """Apply a coordinator's instructions on how to report."""
         outbox = self.outboxes.by_service.get(pace.service)
         if outbox is not None:
             outbox.apply_pace(pace)
 
     def tick(self, now: float) -> None:
-        """Look for overdue answers and send what is due."""
+        """Check attempts in flight and send the reports that are due."""
         for overdue in self.in_flight.tick(now):
             self._overdue(overdue, now)
         if (
@@ -177,7 +179,7 @@
         self._flush()
 
     def sweep(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove what has expired."""
         self.in_flight.remove_old(now)
         self.outboxes.remove_idle(now)
         self.detector_modes.clear()
@@ -214,7 +216,7 @@
             self._schedule_flush(outbox)
 
     def _react_locally(self, attempt, category, now) -> None:
-        """Let this node react by itself."""
+        """Apply an attempt to this node's own weights and ejections."""
         bad = attempt.outcome != interfaces.GOOD
         factor = local_weights.OUTCOME_FACTORS.get(attempt.outcome)
         if factor is not None:
@@ -240,13 +242,13 @@
             self.health.refresh(service)
             self.timeline.record(
                 'upstream-ejected',
-                'By this node alone.',
+                'Decided by this node alone.',
                 service=service,
                 upstream=attempt.upstream,
             )
 
     def _uses_pooled_evidence(self, service: str) -> bool:
-        """Return whether the detector of a service wants pooled evidence."""
+        """Return whether the detector of a service uses pooled evidence."""
         mode = self.detector_modes.get(service)
         if mode is None:
             name = self.health.index.service(service).detector
@@ -295,7 +297,7 @@
 
 
 def _overdue_category(pending: in_flight.PendingAttempt, level: int) -> int:
-    """Return the category of an answer that is overdue."""
+    """Return the category of an attempt in flight at a latency level."""
     if level and not pending.fresh:
         return levels.unproven(level)
     return level
@@ -304,14 +306,14 @@
 def _category(
     outcome: str, bounds: levels.Bounds | None, latency_s: float
 ) -> int | None:
-    """Return the category of an attempt that ended, None for no evidence."""
+    """Return the category of an ended attempt, or None for no evidence."""
     if outcome == interfaces.GOOD:
         if bounds is None:
             return levels.UNRATED
         return levels.level(bounds, latency_s)
     if outcome == interfaces.TIMEOUT and bounds is not None:
         level = levels.level(bounds, latency_s)
-        # A caller in a hurry says nothing of the upstream.
+        # A short timeout set by the caller is no evidence.
         short = level if level >= levels.SLOW else None
         return levels.BROKEN if level == levels.OVERDUE else short
     return OUTCOME_CATEGORIES[outcome]
--- a/carawaystair/outlier/evidence_pool.py
+++ b/carawaystair/outlier/evidence_pool.py
@@ -1,10 +1,10 @@
 """Evidence of one service, pooled by its coordinator.
 
 Keeps for each upstream and class of customers how many attempts reached each
-level, and from the siblings' shares gives every attempt a score, see
-``detectors``.  An upstream is compared with its siblings only, and like with
-like: a customer whose queries are slow everywhere accuses nobody, and an
-upstream under suspicion does not lower the bar for the next.
+level, and scores every attempt by the siblings' shares, see ``detectors``.  An
+upstream is compared with its siblings only, and within the same class of
+customers: a customer whose queries are slow everywhere is no evidence against
+any upstream, and a suspected upstream does not lower the bar for the next.
 """
 
 import array
@@ -15,8 +15,8 @@
 from carawaystair.outlier import levels
 from carawaystair.outlier import recent_scores
 
-# Shares before anything is known weigh as much as so many attempts; a class
-# of customers is taken as the average until it has as many of its own.
+# Initial shares weigh as much as this many attempts; the shares of a class of
+# customers start from the average of all classes.
 PRIOR_ATTEMPTS = 50.0
 CLASS_PRIOR_ATTEMPTS = 20.0
 USUAL_FAILURE_SHARE = 0.001
@@ -30,7 +30,7 @@
         levels.unproven(levels.OVERDUE),
     )
 )
-# No share is taken as rarer: the score of a failure is 8.6 at most.
+# Lower limit of a share: the score of a failure is 8.6 at most.
 MIN_SHARE = 0.0005
 
 
@@ -58,9 +58,9 @@
     ) -> float | None:
         """Add attempts.
 
-        :param count: how many; negative to take back.
-        :return: the score of each against the siblings of just now, or None
-            for what says nothing.
+        :param count: how many; negative to retract.
+        :return: the score of each relative to that of the siblings at present,
+            or None for what is no evidence.
         """
         if category == levels.SILENT:
             return None
@@ -81,7 +81,7 @@
         return score / typical
 
     def exclude(self, upstream: str) -> None:
-        """Leave an upstream out of what siblings are compared with."""
+        """Exclude an upstream from the siblings used for comparison."""
         if upstream in self.excluded:
             return
         self.excluded.add(upstream)
@@ -89,24 +89,24 @@
             level_counts.merge(self.total, self.tables[upstream], -1.0)
 
     def include(self, upstream: str) -> None:
-        """Let an upstream count as a sibling again, from nothing."""
+        """Include an upstream again, with its counts at zero."""
         if upstream in self.excluded:
             self.excluded.discard(upstream)
             self.tables.pop(upstream, None)
 
     def remove(self, upstream: str) -> None:
-        """Drop an upstream that is gone."""
+        """Remove an upstream that is gone."""
         self.exclude(upstream)
         self.include(upstream)
         self.recent.remove(upstream)
 
     def rate(self, now: float) -> float:
-        """Return attempts a second of the upstreams not excluded."""
+        """Return attempts a second at the upstreams not excluded."""
         attempts = self.total[
             level_counts.ALL_CLASSES * level_counts.WIDTH
             + level_counts.ATTEMPTS
         ]
-        # The sum of a decaying memory that began a while ago.
+        # A decayed sum covers less than its time constant at first.
         age = max(now - self.began, 1.0)
         memory = level_counts.DECAY_S * -math.expm1(
             -age / level_counts.DECAY_S
@@ -114,7 +114,7 @@
         return attempts / self.scale.unit(now) / memory
 
     def class_share(self, customer_class: int) -> float:
-        """Return the share of attempts of a class of customers."""
+        """Return the share of a class of customers in all attempts."""
         whole = self.total[
             level_counts.ALL_CLASSES * level_counts.WIDTH
             + level_counts.ATTEMPTS
--- a/carawaystair/outlier/floor.py
+++ b/carawaystair/outlier/floor.py
@@ -1,4 +1,4 @@
-"""The capacity floor: how much ejections must leave."""
+"""The capacity floor: the slots that ejections must leave to a service."""
 
 import typing
 
@@ -6,7 +6,7 @@
 from carawaystair import manifest
 
 Upstreams = typing.Iterable[interfaces.Upstream]
-# Tells whether an upstream is capacity while it is not ejected: up, warmed,
+# Whether an upstream is capacity while it is not ejected: up, warmed up and
 # not draining.
 Usable = typing.Callable[[interfaces.Upstream], bool]
 
@@ -15,8 +15,8 @@
     """Slots of one service.
 
     :param known: slots of all its upstreams that are not gone.
-    :param healthy: slots of those that are able and not ejected.
-    :param bound: slots that ejections must leave.
+    :param healthy: slots of those that are usable and not ejected.
+    :param required_slots: slots that ejections must leave.
     """
 
     known: int
@@ -25,7 +25,7 @@
 
     @property
     def spare(self) -> int:
-        """Return the slots that may yet be ejected; negative below."""
+        """Return the slots that may still be ejected; negative when short."""
         return self.healthy - self.required_slots
 
 
@@ -44,7 +44,7 @@
     ejected: typing.Container[str],
     usable: Usable,
 ) -> Capacity:
-    """Return the capacity that is left when ``ejected`` get no work."""
+    """Return the capacity that is left without the upstreams ``ejected``."""
     upstreams = tuple(upstreams)
     known = sum(upstream.slots for upstream in upstreams)
     healthy = sum(
@@ -65,8 +65,8 @@
 
     :param wanted: ids of upstreams, the ones to eject first at the front.
     :return: ids; ejecting them never brings the capacity below the floor.
-        While the capacity is below the floor without any ejection, as after
-        a loss of hosts, nothing is ejected at all.
+        While the capacity is below the floor without any ejection, as after a
+        loss of hosts, nothing is ejected at all.
     """
     by_id = {upstream.id: upstream for upstream in upstreams}
     spare = measure(service, by_id.values(), (), usable).spare
--- a/carawaystair/outlier/health.py
+++ b/carawaystair/outlier/health.py
@@ -1,4 +1,4 @@
-"""What a node makes of upstreams' health, ejections and told."""
+"""A node's view of the health of upstreams: its own results and leases."""
 
 import random
 
@@ -12,15 +12,16 @@
 from carawaystair.outlier import upstream_index
 
 NOTHING: frozenset[str] = frozenset()
-# A request path that did not ask for a trial for so long offers none.
+# A request path that hasn't asked for a trial in this time offers no copies,
+# seconds.
 COPIES_S = 30.0
 
 
 class Health:
-    """Keeps ``interfaces.Health``.
+    """Implements ``interfaces.Health``.
 
     :param me: this process.
-    :param known: the upstreams.
+    :param index: the upstreams.
     :param rng: source of randomness.
     """
 
@@ -35,7 +36,7 @@
         self.rng = rng
         self.weights = local_weights.LocalWeights()
         self.leases: dict[str, node_leases.NodeLeases] = {}
-        # Ejections of this node alone, for detectors that are not pooled.
+        # Ejections by this node alone, for detectors that are not pooled.
         self.local_ejections: dict[str, local_ejections.LocalEjections] = {}
         self.effective: dict[str, effective_state.EffectiveState] = {}
         self.factors: dict[str, effective_state.WeightFactor] = {}
@@ -43,9 +44,9 @@
         index.restart_callbacks.append(self.on_restart)
 
     def on_restart(self, upstream: interfaces.Upstream) -> None:
-        """Hold nothing against an upstream that has started again.
+        """Drop weights, leases and ejections of a restarted upstream.
 
-        Its coordinator does so as well, as soon as it knows of that.
+        Its coordinator does the same once it learns of the restart.
         """
         name, service = upstream.id, upstream.service
         self.weights.reset(name)
@@ -65,7 +66,7 @@
         return self._effective(service).ejected
 
     def weight(self, upstream: str, customer: str = '') -> float:
-        """Return a factor from 0.0 to 1.0 on the upstream's share."""
+        """Return a factor from 0.0 to 1.0 on the upstream's share of work."""
         now = clock.now()
         weight = self.weights.weight(upstream, now)
         factor = self.factors.get(upstream)
@@ -77,20 +78,20 @@
         return weight
 
     def trial(self, service: str) -> str | None:
-        """Return an upstream that wants a copy of the next request."""
+        """Return an upstream to copy the next request to, or None."""
         self.trial_asked_at[service] = clock.now()
         if service not in self.effective:
             return None
         return self._effective(service).trial(self.rng)
 
     def offers_copies(self, service: str, now: float) -> bool:
-        """Tell whether the request path sends copies as trials."""
+        """Return whether the request path sends copies as trials."""
         return now - self.trial_asked_at.get(service, -COPIES_S) < COPIES_S
 
     def accept(self, state: messages.State) -> bool:
-        """Take the word of a coordinator.
+        """Apply the entries of a coordinator.
 
-        :return: whether it was accepted.
+        :return: whether they were accepted; False for stale ones.
         """
         now = clock.now()
         held = self.leases.get(state.service)
@@ -102,25 +103,25 @@
         return accepted
 
     def lease(self, service: str, upstream: str) -> node_leases.Lease | None:
-        """Return what is granted for an upstream, if anything."""
+        """Return the lease of an upstream, if any."""
         held = self.leases.get(service)
         return None if held is None else held.leases.get(upstream)
 
     def epoch_and_digest(self, service: str) -> tuple[int, int]:
-        """Return the epoch and the digest of what is held."""
+        """Return the epoch and the digest of this node's leases."""
         held = self.leases.get(service)
         if held is None:
             return 0, 0
         return held.newest_sender[0], held.digest()
 
     def outstanding_leases(self, service: str) -> messages.Held:
-        """Return what is held, for a new coordinator."""
+        """Return this node's leases for a new coordinator."""
         held = self.leases.get(service) or node_leases.NodeLeases()
         phases = held.phases(clock.now())
         return messages.Held(service, held.newest_sender[0], phases)
 
     def refresh(self, service: str) -> effective_state.EffectiveState:
-        """Work out the view of a service again."""
+        """Compute the effective state of a service again."""
         now = clock.now()
         held = self.leases.get(service)
         if held is not None:
@@ -142,7 +143,7 @@
         return effective
 
     def sweep(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove what has expired."""
         self.weights.sweep(now)
         self.index.sweep(now)
         for ejections in self.local_ejections.values():
--- a/carawaystair/outlier/in_flight.py
+++ b/carawaystair/outlier/in_flight.py
@@ -1,8 +1,9 @@
 """Attempts in flight at this node, and which of them are overdue.
 
-A hung upstream sends nothing, so the evidence against it is age.  A pause of
-this process itself (garbage collection, a busy host) makes everything look
-old at once; the time of such pauses is therefore taken off every age.
+A hung upstream sends nothing, so the evidence against it is the age of its
+attempts.  A pause of this process itself (garbage collection, a busy host)
+makes all attempts look old at once; pauses are therefore subtracted from every
+age.
 """
 
 import heapq
@@ -12,11 +13,11 @@
 
 from carawaystair.outlier import levels
 
-# How often ages are looked at, seconds.
+# Interval of the checks of ages, seconds.
 TICK_S = 0.025
-# A tick this late shows a pause of the process, seconds.
+# A tick that is later than this shows a pause of the process, seconds.
 MIN_PAUSE_S = 0.02
-# Attempts whose end is never told are forgotten after this, seconds.
+# Attempts whose end is never reported are removed at this age, seconds.
 MAX_AGE_S = 600.0
 MAX_PENDING = 20_000
 
@@ -26,13 +27,13 @@
 class PendingAttempt:
     """One attempt in flight.
 
-    :param service: the service asked for.
+    :param service: the requested service.
     :param upstream: id of the upstream.
     :param customer_class: see ``levels.customer_class``.
     :param bounds: bounds of its route, or None while they are unknown.
     :param fresh: whether its connection is known to work.
     :param started: monotonic time of its start.
-    :param paused: pauses of this process before it, seconds.
+    :param paused_s: total pauses of this process before it, seconds.
     """
 
     __slots__ = (
@@ -63,15 +64,15 @@
         self.fresh = fresh
         self.started = started
         self.paused_s = paused_s
-        # The level that was reported while it still ran, or 0.
+        # Level that was reported while the attempt was running, or 0.
         self.reported_level = 0
 
 
 class PassedBound(typing.NamedTuple):
-    """An attempt that passed a bound.
+    """An attempt in flight that passed a latency bound.
 
     :param pending: the attempt.
-    :param before: the level reported earlier, or 0.
+    :param reported_level: the level reported earlier, or 0.
     :param level: its level now.
     """
 
@@ -88,11 +89,11 @@
         self.bound_times: list[tuple[float, int, Key]] = []
         self.sequence = itertools.count()
         self.paused_s = 0.0
-        # No tick is late before the first one.
+        # The first tick is never late.
         self.last_tick = math.inf
 
     def begin(self, pending: PendingAttempt) -> None:
-        """Take note of a new attempt."""
+        """Add an attempt."""
         if len(self.pending) >= MAX_PENDING:
             return
         key = (pending.upstream, pending.started)
@@ -101,16 +102,16 @@
             self._schedule(pending, levels.SLOW - 1)
 
     def end(self, upstream: str, started: float) -> PendingAttempt | None:
-        """Take an attempt out."""
+        """Remove an attempt and return it."""
         return self.pending.pop((upstream, started), None)
 
     def paused_during(
         self, pending: PendingAttempt | None, now: float
     ) -> float:
-        """Return how long this process stood still during an attempt.
+        """Return how long this process was paused during an attempt, seconds.
 
-        An answer may be handled before the tick that notices the pause, so
-        the running delay of the tick counts as well.
+        An answer may be handled before the tick that notices the pause, so the
+        current delay of the tick counts as well.
         """
         late = now - self.last_tick - TICK_S
         late = late if late > MIN_PAUSE_S else 0.0
@@ -131,7 +132,7 @@
         return found
 
     def remove_old(self, now: float) -> None:
-        """Drop attempts whose end was never told."""
+        """Remove attempts whose end was never reported."""
         old = [
             key
             for key, pending in self.pending.items()
@@ -150,11 +151,11 @@
             pending.reported_level = level
 
     def _schedule(self, pending: PendingAttempt, passed: int) -> None:
-        """Wake up when the attempt passes the bound number ``passed``."""
+        """Schedule a check for when the attempt passes bound ``passed``."""
         paused_s = self.paused_s - pending.paused_s
-        bound_times = pending.started + paused_s + pending.bounds[passed]
+        bound_time = pending.started + paused_s + pending.bounds[passed]
         key = (pending.upstream, pending.started)
         # Strictly after the bound, so that the level has changed by then.
         heapq.heappush(
-            self.bound_times, (bound_times + 1e-6, next(self.sequence), key)
+            self.bound_times, (bound_time + 1e-6, next(self.sequence), key)
         )
--- a/carawaystair/outlier/ingestion.py
+++ b/carawaystair/outlier/ingestion.py
@@ -1,4 +1,4 @@
-"""Takes reports of nodes into the pooled evidence of one service."""
+"""Adds reports of nodes to the pooled evidence of one service."""
 
 import typing
 
@@ -20,29 +20,29 @@
         levels.OVERDUE,
         levels.ERROR,
         levels.BROKEN,
-        *range(levels.UNPROVEN, levels.REPORTED_ILL),
+        *range(levels.UNPROVEN, levels.REPORTED_UNHEALTHY),
     )
 )
-# One node adds at most so many bad attempts to an episode, unless a large
-# part of the work comes through it: its own path may be at fault.
+# Bad attempts that one node adds to an episode at most, since its own path may
+# be at fault, unless it carries a large share of the work.
 MAX_BAD_PER_NODE = 2.0
 LARGE_SHARE = 0.4
-# Health endpoints lag or mislead.  One that says ill counts as one slow
-# answer, too little to hold an upstream by itself; one that says well brings
-# the next trial forward.  Neither counts more often than this, seconds.
-ILL_SCORE = 3.0
-WELL_WAIT_S = 1.0
+# Health endpoints lag or mislead.  An unhealthy result counts as one slow
+# answer, too little to make an upstream suspected by itself; a healthy one
+# brings the next trial forward.  Neither counts more often than this, seconds.
+UNHEALTHY_SCORE = 3.0
+HEALTHY_TRIAL_WAIT_S = 1.0
 HINT_INTERVAL_S = 5.0
 
 
 class Ingestion:
-    """Takes reports.
+    """Adds reports to the evidence.
 
-    :param ledger: what is held against upstreams.
-    :param pool: takes the attempts.
-    :param detector: takes their scores.
+    :param store: records of the upstreams.
+    :param pool: the attempts are added to it.
+    :param detector: the scores of attempts are added to it.
     :param reporters: the reporting nodes.
-    :param routes: takes latencies.
+    :param routes: the latencies are added to it.
     """
 
     def __init__(
@@ -62,10 +62,10 @@
     def ingest(
         self, report: messages.Report, address: str, now: float
     ) -> typing.Iterable[str]:
-        """Take one report.
+        """Add one report.
 
         :param address: of the reporting node, for datagrams.
-        :return: ids of the upstreams to judge.
+        :return: ids of the upstreams in it, to be decided on.
         """
         self._update_reporter(report, address, now)
         self.baseline.add_samples(report.samples, now)
@@ -105,16 +105,20 @@
         bad = any(cell.counts[category] for category in BAD)
         weight = 1.0 if bad else 1.0 / report.cell_share
         self._apply_hint(cell, now)
-        # Overdue answers on old connections may hold an upstream, never eject
-        # it: the connections may have gone silent while new ones work.  What
-        # is taken back still counts.
-        old = cell.counts[levels.UNPROVEN : levels.REPORTED_ILL]
-        doubtful = sum(old) >= 0 and self._suspected(cell.upstream)
-        for category, count in enumerate(cell.counts[: levels.REPORTED_ILL]):
+        # Overdue answers on unproven connections may make an upstream
+        # suspected but never eject it: the connections may have gone silent
+        # while new ones work.  Retractions still count.
+        unproven = cell.counts[levels.UNPROVEN : levels.REPORTED_UNHEALTHY]
+        ignore_unproven = sum(unproven) >= 0 and self._suspected(cell.upstream)
+        for category, count in enumerate(
+            cell.counts[: levels.REPORTED_UNHEALTHY]
+        ):
             if count and category in BAD:
                 counted = self._add_bad(cell, category, count, report, now)
                 if category >= levels.UNPROVEN:
-                    counted = self._limit_unproven(cell, counted, doubtful)
+                    counted = self._limit_unproven(
+                        cell, counted, ignore_unproven
+                    )
                 self._observe(cell, category, count, counted, report, now)
             elif count:
                 scaled = count * weight
@@ -128,9 +132,9 @@
                 )
 
     def _add_bad(self, cell, category, count, report, now) -> float:
-        """Take note of bad attempts.
+        """Add bad attempts to the episode of an upstream.
 
-        :return: how many of them count.
+        :return: how many of them count as evidence.
         """
         if not self.reporters.believable(report.path_suspected):
             count = 0
@@ -147,14 +151,14 @@
             count = _capped(before, count, MAX_BAD_PER_NODE)
         return count
 
-    def _limit_unproven(self, cell, counted, doubtful) -> float:
-        """Return how much of an unproven count weighs.
+    def _limit_unproven(self, cell, counted, ignore_unproven) -> float:
+        """Return how many unproven attempts count as evidence.
 
-        What did not weigh when it was told must not weigh when it is taken
-        back either.
+        Attempts that did not count when they were reported must not count when
+        they are retracted.
         """
         episode = self.store.records[cell.upstream].episode
-        if doubtful:
+        if ignore_unproven:
             return 0.0
         counted = max(counted, -episode.unproven)
         episode.unproven += counted
@@ -170,21 +174,21 @@
                 self.detector.reset(key)
 
     def _apply_hint(self, cell, now) -> None:
-        ill, well = cell.counts[levels.REPORTED_ILL :]
+        unhealthy, healthy = cell.counts[levels.REPORTED_UNHEALTHY :]
         record = self.store.records.get(cell.upstream)
-        if ill or (well and record is not None):
+        if unhealthy or (healthy and record is not None):
             record = self.store.get_or_add(cell.upstream, now)
             if now - record.hinted_at < HINT_INTERVAL_S:
                 return
             record.hinted_at = now
-        if ill:
-            self.detector.observe(cell.upstream, ILL_SCORE, 1.0, now)
+        if unhealthy:
+            self.detector.observe(cell.upstream, UNHEALTHY_SCORE, 1.0, now)
         elif (
-            well
+            healthy
             and record is not None
             and record.state == upstream_record.EJECTED
         ):
-            soon = now + WELL_WAIT_S
+            soon = now + HEALTHY_TRIAL_WAIT_S
             record.backoff_until = min(record.backoff_until, soon)
 
     def _observe(self, cell, category, count, counted, report, now) -> None:
@@ -197,15 +201,15 @@
         record = self.store.records.get(cell.upstream)
         if record is None or record.episode is None:
             return
-        # The groups that saw something bad are weighed on their own too: a
-        # small one would drown in the good answers to all others.
+        # Groups of callers with bad attempts have evidence of their own: a
+        # small group would not show among the good answers to all others.
         source = _source_of(cell, report)
         for key in record.episode.group_keys(cell.upstream, source):
             self.detector.observe(key, score, counted, now)
 
 
 def _capped(before: float, count: float, most: float) -> float:
-    """Return how much of ``count`` more, or less, stays within ``most``."""
+    """Return the part of a change by ``count`` that stays within ``most``."""
     return min(before + count, most) - min(before, most)
 
 
--- a/carawaystair/outlier/leadership.py
+++ b/carawaystair/outlier/leadership.py
@@ -1,10 +1,10 @@
-"""The services that this process coordinates, and how it comes to do so.
+"""The services that this process coordinates, and takeovers.
 
-A coordinator starts with a new epoch, above all that it hears of.  It first
-asks those that may have coordinated before it, and nodes that hold leases it
-does not know, what is outstanding; until then it grants nothing.  Nodes keep
-the leases of the earlier epoch meanwhile, so there is no gap, and clamp what
-they hold to the floor, so that two coordinators at once do no harm.
+A coordinator starts with a new epoch, above all epochs that it hears of.  It
+first asks possible predecessors, and nodes that hold leases it does not know,
+which leases are outstanding; until then it grants nothing.  Nodes keep the
+leases of the earlier epoch meanwhile, so there is no gap.  They clamp their
+leases to the floor, so that two coordinators at once do no harm.
 """
 
 import asyncio
@@ -24,20 +24,21 @@
 from carawaystair import timeline as timelines
 
 TICK_S = 0.05
-# The same while this process coordinates nothing.
+# The same while this process coordinates no service.
 IDLE_TICK_S = 0.25
-# Members asked that may have coordinated before, and how long each gets to
-# answer, seconds.
+# Possible predecessors asked in a takeover, and the timeout and number of the
+# attempts to ask each.
 MAX_PREDECESSORS = 3
 ASK_TIMEOUT_S = 0.4
 ASK_ATTEMPTS = 2
-# When one of them did not answer, nodes get so long to report that they hold
-# something, seconds; at most so many of them are asked.
+# When a predecessor doesn't answer, nodes get this time to report that they
+# hold leases, seconds; at most this many of them are asked.
 REPORT_WAIT_S = 1.5
 MAX_NODES_ASKED = 8
-# A coordinator without reports is forgotten after this, seconds.
+# A coordinator without reports or leases is removed after this, seconds.
 IDLE_TIMEOUT_S = 120.0
-# A coordinator that hears of a higher epoch starts anew, so often at most.
+# A coordinator that hears of a higher epoch takes over again, at most once in
+# this time, seconds.
 MIN_TAKEOVER_INTERVAL_S = 3.0
 
 MakeDetector = typing.Callable[[str], detectors.Detector]
@@ -45,11 +46,11 @@
 
 
 class MirroredState(typing.NamedTuple):
-    """What a coordinator told its standby.
+    """State that a coordinator replicated to this process, its standby.
 
-    :param epoch: its epoch.
+    :param epoch: the coordinator's epoch.
     :param phases: by upstream.
-    :param time: monotonic time.
+    :param time: monotonic time of the last message.
     """
 
     epoch: int
@@ -60,13 +61,13 @@
 class Leadership(mode.Service):
     """The coordinators of this process.
 
-    :param choice: which process coordinates what.
-    :param known: the upstreams.
-    :param links: questions and answers.
+    :param placement: assigns services to processes.
+    :param index: the upstreams.
+    :param links: requests to other processes.
     :param sender: datagrams.
-    :param detect: makes the detector of a service.
-    :param holdings: returns what this process holds as a node.
-    :param timeline: takes the events.
+    :param make_detector: returns a new detector for a service.
+    :param local_leases: returns the leases that this process holds as a node.
+    :param timeline: records events.
     :param rng: source of randomness.
     """
 
@@ -97,12 +98,12 @@
         links.handle(messages.Ask, self.answer_ask)
 
     async def on_stop(self) -> None:
-        """End the questions that run."""
+        """Cancel takeovers and requests that are running."""
         for task in list(self.tasks):
             task.cancel()
 
     def receive_report(self, report: messages.Report, address: str) -> None:
-        """Take the report of a node.
+        """Pass the report of a node to the coordinator and send the results.
 
         :param address: of the node, for datagrams.
         """
@@ -116,7 +117,7 @@
             self._ask_node(role, report)
 
     def receive_mirror(self, message: messages.Mirror) -> None:
-        """Take what the coordinator tells its standby."""
+        """Store the state that a coordinator sends to its standby."""
         old = self.mirrored.get(message.service)
         if old is not None and message.epoch < old.epoch:
             return
@@ -130,12 +131,12 @@
     async def answer_ask(
         self, sender: str, question: messages.Ask
     ) -> messages.Held:
-        """Answer a new coordinator."""
+        """Return the outstanding leases to a new coordinator."""
         return self._outstanding_leases(question.service)
 
     @mode.Service.task
     async def _tick(self) -> None:
-        """Do what time alone brings about."""
+        """Run the ticks of all coordinators of this process."""
         while not self.should_stop:
             await asyncio.sleep(TICK_S if self.roles else IDLE_TICK_S)
             now = clock.now()
@@ -187,16 +188,18 @@
     def _may_decide(
         self, role: coordinator_role.CoordinatorRole, epoch: int, now: float
     ) -> bool:
-        """Tell whether this process may decide on a service just now.
+        """Return whether this process may decide on a service now.
 
-        :param epoch: that a node has heard of.
+        Starts a takeover where one is needed.
+
+        :param epoch: the epoch that a node has reported, or 0.
         """
         mine = self.placement.coordinates_here(role.coordinator.service)
         if not mine:
             role.leading = role.coordinator.takeover_done = False
             return False
-        # After a partition a node may hold leases of another coordinator
-        # with a higher epoch and heed nothing from this one.
+        # After a partition a node may hold leases of another coordinator with
+        # a higher epoch and ignore this one.
         overtaken = (
             epoch > role.epoch
             and now - role.takeover_at > MIN_TAKEOVER_INTERVAL_S
@@ -209,7 +212,7 @@
         return role.coordinator.takeover_done
 
     async def _take_over(self, role: coordinator_role.CoordinatorRole) -> None:
-        """Learn what is outstanding, then start a new epoch."""
+        """Collect the outstanding leases, then start a new epoch."""
         service = role.coordinator.service
         role.asked_nodes.clear()
         self._adopt(role, self._outstanding_leases(service))
@@ -226,7 +229,7 @@
         role.epoch += 1
         role.coordinator.takeover_done = True
         held = role.coordinator.store.unhealthy()
-        text = 'Epoch %d with %d outstanding.' % (role.epoch, len(held))
+        text = 'Epoch %d; outstanding leases: %d.' % (role.epoch, len(held))
         self.timeline.record('coordinator-took-over', text, service=service)
         reporters = role.coordinator.reporters.addresses()
         self.sender.send(reporters, role.full_state(self.placement.alive, now))
@@ -235,7 +238,10 @@
     async def _ask(
         self, role: coordinator_role.CoordinatorRole, peer: str
     ) -> bool:
-        """Ask one process, and again when it does not answer."""
+        """Ask one process for its leases, with retries.
+
+        :return: whether it answered.
+        """
         question = messages.Ask(role.coordinator.service)
         for _attempt in range(ASK_ATTEMPTS):
             answer = await self.links.call(peer, question, ASK_TIMEOUT_S)
@@ -247,7 +253,7 @@
     def _ask_node(
         self, role: coordinator_role.CoordinatorRole, report: messages.Report
     ) -> None:
-        """Ask a node that holds what a new coordinator may not know."""
+        """Ask a node that holds leases unknown to a new coordinator."""
         fresh = report.host not in role.asked_nodes
         if (
             not role.leading
@@ -269,7 +275,7 @@
         role.coordinator.adopt(held.phases, clock.now())
 
     def _outstanding_leases(self, service: str) -> messages.Held:
-        """Return what this process knows to be granted."""
+        """Return the leases that this process knows of."""
         now = clock.now()
         local = self.local_leases(service)
         found = {phase.entry.upstream: phase for phase in local.phases}
--- a/carawaystair/outlier/level_counts.py
+++ b/carawaystair/outlier/level_counts.py
@@ -1,8 +1,8 @@
-"""How many attempts reached each level, for one upstream or for all.
+"""Decayed counts of attempts by level, for one upstream or for all.
 
-The past decays by growing the weight of what is new (forward decay; Cormode
-et al., 2009): adding an attempt never touches the rest of a table, and tables
-of one owner are added and subtracted cell by cell.
+The weight of new attempts grows instead of old ones being decayed (forward
+decay; Cormode et al., 2009): adding an attempt never touches the rest of a
+table, and tables with a common scale are added and subtracted cell by cell.
 """
 
 import array
@@ -10,19 +10,19 @@
 
 from carawaystair.outlier import levels
 
-# Attempts count for a third after this, seconds.
+# Time constant of the decay, seconds.
 DECAY_S = 60.0
 RESCALE = 1e9
 
-# A row: attempts at level 0 or worse, ... level 5, then server errors,
-# attempts without an answer, and attempts of any kind.
+# Columns: attempts at level 0 or worse, ... level 5, then server errors,
+# attempts without an answer, and all attempts.
 ERRORS = levels.LEVELS
 NO_ANSWER = ERRORS + 1
 ATTEMPTS = NO_ANSWER + 1
 WIDTH = ATTEMPTS + 1
 # A row for each class of customers and one for all of them.
-ALL_CLASSES = levels.CLASSES
-SIZE = WIDTH * (levels.CLASSES + 1)
+ALL_CLASSES = levels.CUSTOMER_CLASSES
+SIZE = WIDTH * (levels.CUSTOMER_CLASSES + 1)
 
 COLUMNS = {
     **{level: (*range(level + 1), ATTEMPTS) for level in range(levels.LEVELS)},
@@ -34,7 +34,7 @@
 
 
 class DecayScale:
-    """The weight of an attempt made now, for a family of tables.
+    """Weight of an attempt made now, common to a group of tables.
 
     :param now: monotonic time.
     """
@@ -55,10 +55,13 @@
 def add(
     target: array.array, customer_class: int, category: int, amount: float
 ) -> None:
-    """Add attempts; ``amount`` is their count times the unit."""
+    """Add attempts.
+
+    :param amount: their count times the unit of the scale.
+    """
     for row in (customer_class * WIDTH, ALL_CLASSES * WIDTH):
         for column in COLUMNS[category]:
-            # What is taken back may have decayed less than what was added.
+            # A retraction may have decayed less than what was added.
             target[row + column] = max(target[row + column] + amount, 0.0)
 
 
--- a/carawaystair/outlier/levels.py
+++ b/carawaystair/outlier/levels.py
@@ -1,9 +1,9 @@
-"""Latency levels: how unusual an answer was for its route.
+"""Latency levels: how unusual the latency of an answer is for its route.
 
-The coordinator of a service pools latencies of good answers by route and
-gives the nodes five bounds for each route.  A node then sorts every attempt
-into a level, so that quick and slow routes, and small and large services, are
-compared on one scale, and a report needs a handful of small numbers only.
+The coordinator of a service pools latencies of good answers by route and gives
+the nodes five bounds for each route.  A node then sorts every attempt into a
+level.  Fast and slow routes, and small and large services, are thus compared
+on one scale, and a report needs only a few small numbers.
 """
 
 import array
@@ -14,8 +14,9 @@
 
 import xxhash
 
-# Categories of attempts.  0 to 5 are latency levels: the quicker half, up to
-# the 90th and 99th percentile, up to twice extrapolated further, and beyond.
+# Categories of attempts.  0 to 5 are latency levels: up to the median, the
+# 90th and the 99th percentile, up to the bounds of LATE and OVERDUE beyond it,
+# and above all bounds.
 LEVELS = 6
 SLOW = 3
 LATE = 4
@@ -24,48 +25,49 @@
 BROKEN = 7  # no answer: timeout, broken or refused connection
 SILENT = 8  # an open connection went silent while new ones work
 UNRATED = 9  # a good answer on a route without bounds
-# 10 to 12: slow, late and overdue on a connection that may itself be silent.
+# 10 to 12: slow, late and overdue on an unproven connection, which may itself
+# have gone silent.
 UNPROVEN = 10
-REPORTED_ILL = 13  # what a health endpoint says, not an attempt
-REPORTED_WELL = 14
+REPORTED_UNHEALTHY = 13  # what a health endpoint says, not an attempt
+REPORTED_HEALTHY = 14
 CATEGORIES = 15
 
 # Shares of good answers at or below the measured bounds.
 QUANTILES = (0.5, 0.9, 0.99)
-# Tail shares that the levels have while all is well.
+# Shares of attempts at each level or worse in a healthy service.
 USUAL_TAILS = (1.0, 0.5, 0.1, 0.01, 0.001, 0.0002)
 
-# Latencies are kept in bins a sixteenth of a doubling wide: 4.4%.
+# Histogram bins are a sixteenth of a doubling wide: 4.4%.
 BINS_PER_DOUBLING = 16
 MIN_LATENCY_S = 0.0002
 BINS = 20 * BINS_PER_DOUBLING
-# A route gets bounds of its own from so many answers on.
+# A route gets bounds once it has so many answers.
 MIN_ANSWERS = 60
-# Time after which an answer counts for a third, seconds.  Long enough for
-# the 99th percentile of a service with 40 requests a second.
+# Time constant of the decay, after which an answer counts for 1/e.  Long
+# enough for the 99th percentile of a service with 40 requests a second.
 DECAY_S = 120.0
-# Weights grow with time instead of the past being decayed; beyond this they
-# are scaled back.
+# Weights of new answers grow instead of old ones being decayed; above this
+# factor the histogram is rescaled.
 RESCALE = 1e9
 MAX_ROUTES = 128
 # Bounds above the 99th percentile grow by the ratio of the two below, as the
-# tail of a power law does, held within these.
+# tail of a power law does, limited to this range.
 MIN_RATIO = 1.5
 MAX_RATIO = 4.0
-# From so many answers on the 99.9th percentile is measured instead.
+# From so many answers on, the 99.9th percentile is measured, not extrapolated.
 MIN_ANSWERS_FOR_LATE = 1500
 LATE_QUANTILE = 0.999
 
-CLASSES = 8
+CUSTOMER_CLASSES = 8
 
 
 class Bounds(typing.NamedTuple):
-    """Latency bounds of one route, in seconds, growing.
+    """Latency bounds of one route, in seconds, ascending.
 
     :param median: of good answers.
     :param p90: 90th percentile.
     :param p99: 99th percentile.
-    :param late: about the 99.9th percentile, extrapolated.
+    :param late: about the 99.9th percentile, measured or extrapolated.
     :param overdue: about the 99.99th percentile, extrapolated.
     """
 
@@ -83,31 +85,31 @@
 
 @functools.lru_cache(4096)
 def short_id(name: str) -> int:
-    """Return a short number for a route's key or an upstream's id."""
+    """Return a 32-bit number for a route's key or an upstream's id."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 @functools.lru_cache(4096)
 def customer_class(customer: str) -> int:
     """Return the class of a customer: one of a few stable groups."""
-    return xxhash.xxh32_intdigest(customer.encode()) % CLASSES
+    return xxhash.xxh32_intdigest(customer.encode()) % CUSTOMER_CLASSES
 
 
 def unproven(level: int) -> int:
-    """Return the category of an overdue answer on an old connection."""
+    """Return the category of a slow answer on an unproven connection."""
     return UNPROVEN + level - SLOW
 
 
 def proven(category: int) -> int:
-    """Return the latency level that an unproven category stands for."""
+    """Return the latency level of an unproven category."""
     return category - UNPROVEN + SLOW
 
 
 class LatencyHistogram:
-    """Latencies of good answers of one route, the recent ones.
+    """Decaying histogram of the latencies of good answers of one route.
 
-    The past decays by growing the weight of what is new (forward decay;
-    Cormode et al., 2009), so that adding one costs the same at any age.
+    The weight of new answers grows instead of old ones being decayed (forward
+    decay; Cormode et al., 2009), so that adding one costs the same at any age.
     """
 
     def __init__(self, now: float) -> None:
@@ -116,7 +118,6 @@
         self.total = 0.0
 
     def add(self, latency_s: float, now: float) -> None:
-        """Add one latency."""
         weight = math.exp((now - self.zero) / DECAY_S)
         if weight > RESCALE:
             self.bins = array.array('d', (x / weight for x in self.bins))
@@ -126,15 +127,16 @@
         self.total += weight
 
     def count(self, now: float) -> float:
-        """Return how many answers are remembered, decayed."""
+        """Return the number of answers, decayed."""
         return self.total * math.exp((self.zero - now) / DECAY_S)
 
     def bounds(self, min_latency_s: float, many: bool = False) -> Bounds:
         """Return the bounds.
 
-        :param many: whether there are enough answers to measure the rarer.
-        :param least_s: no bound from the 99th percentile on is below this,
-            since a pause of a node itself is no news about an upstream.
+        :param min_latency_s: bounds from the 99th percentile on are at least
+            this, since delays that short may be pauses of the node itself.
+        :param many: whether there are enough answers to measure the 99.9th
+            percentile.
         """
         median, p90, p99 = (self.quantile(share) for share in QUANTILES)
         p99 = max(p99, min_latency_s, p90 * MIN_RATIO)
@@ -179,7 +181,7 @@
         latencies.add(latency_s, now)
 
     def has_bounds(self, route: int, now: float) -> bool:
-        """Tell whether a route has answers enough for bounds."""
+        """Return whether a route has enough answers for bounds."""
         latencies = self.by_route.get(route)
         return latencies is not None and latencies.count(now) >= MIN_ANSWERS
 
@@ -194,7 +196,7 @@
         }
 
     def remove_unused(self, now: float) -> None:
-        """Drop routes that nobody uses any more."""
+        """Remove routes without recent answers."""
         for route, latencies in list(self.by_route.items()):
             if latencies.count(now) < 1.0:
                 del self.by_route[route]
--- a/carawaystair/outlier/local_ejections.py
+++ b/carawaystair/outlier/local_ejections.py
@@ -3,14 +3,14 @@
 from carawaystair.outlier import detectors
 from carawaystair.outlier import tuning as tunings
 
-# Length of the first ejection, seconds; it grows with each further one.
+# Length of the first ejection, seconds; each further one is longer by as much.
 FIRST_EJECTION_S = 10.0
 MAX_EJECTION_S = 300.0
 BAD_SCORE = 8.0
 
 
 class LocalEjections:
-    """The ejections of one service at this node.
+    """Ejections of one service by this node alone.
 
     :param detector: one that is not pooled.
     """
@@ -23,9 +23,9 @@
     def observe(
         self, upstream: str, bad: bool, tuning: tunings.Tuning, now: float
     ) -> bool:
-        """Take note of one attempt.
+        """Add one attempt.
 
-        :return: whether the upstream is ejected now.
+        :return: whether it led to an ejection.
         """
         self.detector.observe(upstream, BAD_SCORE if bad else 0.0, 1.0, now)
         if self.detector.evidence(upstream, now) < tuning.eject_nats:
@@ -39,21 +39,21 @@
         return True
 
     def ejected(self, now: float) -> list[str]:
-        """Return ids, ordered."""
+        """Return the ids of ejected upstreams, sorted."""
         return sorted(
             name for name, until in self.until.items() if until > now
         )
 
     def reset(self, upstream: str) -> None:
-        """Begin anew with an upstream that has started again."""
+        """Drop evidence and ejections of an upstream that has restarted."""
         self.detector.reset(upstream)
         self.until.pop(upstream, None)
         self.counts.pop(upstream, None)
 
     def remove_expired(self, now: float) -> bool:
-        """Drop what is over.
+        """Remove the ejections that have ended.
 
-        :return: whether there was anything.
+        :return: whether there were any.
         """
         over = [name for name, until in self.until.items() if until <= now]
         for name in over:
--- a/carawaystair/outlier/local_path.py
+++ b/carawaystair/outlier/local_path.py
@@ -1,8 +1,12 @@
-"""Whether this node's own path is at fault: all it talks to looks bad."""
+"""Detects faults of this node's own network path.
 
-# What an upstream showed counts for so long, seconds.
+When nearly all upstreams look bad from here, the path is the likelier cause.
+"""
+
+# Results older than this are ignored, seconds.
 DECAY_S = 2.0
-# So many upstreams must look bad, and so large a share of those tried.
+# The path is suspected when at least this many upstreams look bad, and at
+# least this share of those tried.
 MIN_BAD = 4
 MIN_BAD_SHARE = 0.75
 MAX_UPSTREAMS = 256
@@ -10,7 +14,7 @@
 
 
 class LocalPath:
-    """The upstreams that this node tried lately."""
+    """Recent results of the upstreams that this node tried."""
 
     def __init__(self) -> None:
         self.good: dict[str, float] = {}
@@ -19,7 +23,7 @@
         self.checked_at = -CHECK_INTERVAL_S
 
     def add(self, upstream: str, bad: bool, now: float) -> None:
-        """Take note of what an upstream showed."""
+        """Add the result of one attempt."""
         table, other = (self.bad, self.good)
         if not bad:
             table, other = other, table
@@ -28,9 +32,9 @@
             table[upstream] = now
 
     def tick(self, now: float) -> bool:
-        """Look again.
+        """Update ``suspected``.
 
-        :return: whether the path has just become suspect.
+        :return: whether the path has just become suspected.
         """
         if now - self.checked_at < CHECK_INTERVAL_S:
             return False
--- a/carawaystair/outlier/local_weights.py
+++ b/carawaystair/outlier/local_weights.py
@@ -1,44 +1,44 @@
-"""Soft weights: what a node makes of its own attempts, at once and alone."""
+"""Local weights: a node's immediate reaction to its own attempts."""
 
 import math
 import typing
 
 from carawaystair import interfaces
 
-# What an outcome multiplies the weight by.
+# Factors on the weight by outcome.
 OUTCOME_FACTORS = {
     interfaces.TIMEOUT: 0.1,
     interfaces.BROKEN: 0.2,
     interfaces.REFUSED: 0.2,
     interfaces.ERROR: 0.5,
-    # A refusal under load is no fault, but more work would be refused too.
+    # Shedding is no fault, but more work would be shed too.
     interfaces.SHED: 0.8,
 }
-# The same for an answer that is late or overdue while still awaited.
+# Factors for an answer that is late or overdue and still awaited.
 LATE_FACTOR = 0.3
 OVERDUE_FACTOR = 0.15
-# On a connection that may have gone silent by itself.
+# For either on a connection that may itself have gone silent.
 UNPROVEN_FACTOR = 0.5
 MIN_WEIGHT = 0.02
-# A weight that nothing happens to gets back two thirds of its loss in this
-# time, seconds; it doubles when the next attempt after a while fails too, so
+# Without further attempts a weight regains 1 - 1/e of its loss in this time,
+# seconds.  The time doubles when the next attempt after a pause fails too, so
 # that a path that stays broken is tried less and less.
 RECOVERY_S = 5.0
 MAX_RECOVERY_S = 80.0
 RECOVERED_WEIGHT = 0.95
 REPEAT_S = 3.0
-# Each good answer takes this share of the loss away.
+# Each good answer removes this share of the loss.
 RECOVERY_SHARE = 0.3
-# Weights this close to 1.0 are forgotten, so that the table stays small.
+# Weights this close to 1.0 are removed, which keeps the table small.
 FORGET_WEIGHT = 0.99
 
 
 class LocalWeight(typing.NamedTuple):
-    """The soft weight of one upstream.
+    """The local weight of one upstream.
 
-    :param loss: what the weight lacked to 1.0 at ``time``.
+    :param loss: 1.0 minus the weight at ``time``.
     :param time: monotonic time of the last change.
-    :param recovery_s: time in which it recovers.
+    :param recovery_s: time constant of the recovery, seconds.
     """
 
     loss: float
@@ -46,18 +46,18 @@
     recovery_s: float
 
     def weight(self, now: float) -> float:
-        """Return the weight."""
+        """Return the weight at a time."""
         return 1.0 - self.loss * math.exp((self.time - now) / self.recovery_s)
 
 
 class LocalWeights:
-    """Soft weights of the upstreams that this node had trouble with."""
+    """Local weights of the upstreams that recently failed or were slow."""
 
     def __init__(self) -> None:
         self.by_upstream: dict[str, LocalWeight] = {}
 
     def lower(self, upstream: str, factor: float, now: float) -> None:
-        """Multiply a weight."""
+        """Multiply a weight by a factor."""
         old = self.by_upstream.get(upstream, LocalWeight(0.0, now, RECOVERY_S))
         before = old.weight(now)
         weight = max(before * factor, MIN_WEIGHT)
@@ -67,7 +67,7 @@
         self.by_upstream[upstream] = LocalWeight(1.0 - weight, now, recovery)
 
     def restore(self, upstream: str, now: float) -> None:
-        """Let a good answer raise a weight."""
+        """Raise a weight after a good answer."""
         old = self.by_upstream.get(upstream)
         if old is None:
             return
@@ -79,12 +79,12 @@
         self.by_upstream.pop(upstream, None)
 
     def weight(self, upstream: str, now: float) -> float:
-        """Return a weight, which recovers with time."""
+        """Return a weight; it recovers with time."""
         weight = self.by_upstream.get(upstream)
         return 1.0 if weight is None else weight.weight(now)
 
     def sweep(self, now: float) -> None:
-        """Forget the weights that have recovered."""
+        """Remove the weights that have recovered."""
         for upstream, weight in list(self.by_upstream.items()):
             loss = 1.0 - weight.weight(now)
             self._set(upstream, LocalWeight(loss, now, weight.recovery_s))
--- a/carawaystair/outlier/messages.py
+++ b/carawaystair/outlier/messages.py
@@ -1,29 +1,29 @@
 """Messages of outlier detection; wire numbers 80 to 99.
 
-All but ``Ask`` and ``Held`` travel as datagrams: a lost report is one sample
-less, and a lost state is repaired by the next one.
+All but ``Ask`` and ``Held`` travel as datagrams: a lost report costs one
+sample, and a lost state is repaired by the next one.
 """
 
 import typing
 
 from carawaystair import wire
 
-# What an entry says of an upstream.
-SUSPECTED = 1  # under suspicion: hardly any work while it is tested
+# Kinds of entries.
+SUSPECTED = 1  # hardly any work while it is tested
 EJECTED = 2  # no work
-RETURNING = 3  # work again, growing
-CLEAR = 4  # nothing is held against it any more
+RETURNING = 3  # a growing share of work
+CLEAR = 4  # no restriction
 
 
 class Cell(typing.NamedTuple):
-    """Attempts at one upstream for one class of customers.
+    """Attempts at one upstream by one class of customers.
 
     :param upstream: id of the upstream.
     :param customer_class: see ``levels.customer_class``.
     :param counts: attempts by category, see ``levels``; a negative number
-        takes back what an earlier report said too early.
-    :param tested: how many of them were answered, quickly or not, and
-        began after the upstream came under suspicion or trial.
+        retracts attempts that an earlier report counted in another category.
+    :param test_answers: how many of them were answered, at any speed, and
+        started after the upstream came under suspicion or on trial.
     """
 
     upstream: str
@@ -35,9 +35,9 @@
 class Sample(typing.NamedTuple):
     """The latency of one good answer, for the bounds of its route.
 
-    :param route: see ``levels.short``.
+    :param route: see ``levels.short_id``.
     :param latency_us: microseconds.
-    :param upstream: short number of the upstream, see ``levels.short``.
+    :param upstream: short id of the upstream, see ``levels.short_id``.
     """
 
     route: int
@@ -47,20 +47,22 @@
 
 @wire.register(80)
 class Report(typing.NamedTuple):
-    """A node tells the coordinator of a service what its attempts showed.
+    """A node's report on its attempts to the coordinator of a service.
 
     :param service: the service.
     :param host: the reporting node.
     :param data_centre: its data centre.
-    :param epoch: epoch of the newest state that it holds.
-    :param digest: of the entries that it holds, see ``held.digest``.
+    :param epoch: epoch of the newest state that it has accepted.
+    :param digest: of the entries that it holds, see ``node_leases.digest``.
     :param bounds: version of the bounds that it holds.
-    :param copies: whether its request path sends copies as trials.
-    :param suspect: whether it suspects its own path, so that its failures
-        say nothing of upstreams.
-    :param share: the share of its cells that it sent, above 0.0 to 1.0.
+    :param offers_copies: whether its request path sends copies of requests as
+        trials.
+    :param path_suspected: whether it suspects its own network path, in which
+        case its failures are no evidence against upstreams.
+    :param cell_share: the share of its cells with only good answers that it
+        sent, above 0.0 to 1.0.
     :param cells: the attempts since its last report.
-    :param samples: some latencies.
+    :param samples: a sample of the latencies.
     """
 
     service: str
@@ -77,20 +79,21 @@
 
 
 class Entry(typing.NamedTuple):
-    """What holds for one upstream.
+    """The state of one upstream as granted by the coordinator.
 
     :param upstream: its id.
-    :param kind: one of :data:`HELD`, :data:`EJECTED`, :data:`RETURNING`,
+    :param kind: one of :data:`SUSPECTED`, :data:`EJECTED`, :data:`RETURNING`,
         :data:`CLEAR`.
     :param serial: grows with every change within an epoch.
     :param ttl_ms: milliseconds until this lease ends.
     :param weight: share of work, in thousandths.
-    :param trial: chance that a request is copied to it, in millionths.
-    :param severity: the worse first, when a node can't honour all.
+    :param copy_chance: chance that a request is copied to it, in millionths.
+    :param severity: a node that can't honour all ejections starts with the
+        highest.
     :param data_centre: only for nodes of this data centre, or empty.
     :param customer_class: only for this class of customers, or -1.
-    :param trickle: share of requests that treat it as if it were well, in
-        thousandths.
+    :param test_share: share of requests that treat it as if it were healthy,
+        in thousandths.
     """
 
     upstream: str
@@ -107,13 +110,14 @@
 
 @wire.register(81)
 class State(typing.NamedTuple):
-    """A coordinator tells nodes what it holds against upstreams.
+    """A coordinator's entries for the upstreams of a service.
 
     :param service: the service.
     :param host: the coordinator.
     :param epoch: grows with every change of the coordinator.
-    :param full: whether these are all of its entries; whatever else a node
-        holds for the service, of this epoch or an earlier one, then ends.
+    :param complete: whether these are all of its entries; any other lease that
+        a node holds for the service, of this epoch or an earlier one, then
+        ends.
     :param entries: all or some of its entries.
     """
 
@@ -127,7 +131,7 @@
 class RouteBounds(typing.NamedTuple):
     """Latency bounds of one route.
 
-    :param route: see ``levels.short``.
+    :param route: see ``levels.short_id``.
     :param bounds_us: see ``levels.Bounds``, in microseconds.
     """
 
@@ -137,12 +141,12 @@
 
 @wire.register(82)
 class Pace(typing.NamedTuple):
-    """A coordinator tells a node how to report.
+    """A coordinator's instructions to a node on how to report.
 
     :param service: the service.
     :param version: of the bounds.
-    :param every_ms: milliseconds between reports of good answers.
-    :param spacing_ms: least time between reports of bad attempts.
+    :param interval_ms: milliseconds between reports of good answers.
+    :param min_spacing_ms: least time between reports of bad attempts.
     :param urgent_level: attempts from this level on are reported at once.
     :param bounds: of the routes, all or some of them.
     """
@@ -156,10 +160,10 @@
 
 
 class Phase(typing.NamedTuple):
-    """What a standby must know beyond an entry.
+    """An entry with what a standby needs beyond it.
 
     :param entry: the entry.
-    :param flaps: ejections of late, decayed.
+    :param recent_ejections: number of recent ejections, decayed.
     :param backoff_ms: milliseconds until its next trial.
     """
 
@@ -170,11 +174,11 @@
 
 @wire.register(83)
 class Mirror(typing.NamedTuple):
-    """A coordinator tells its standby what it would need to take over.
+    """State that a coordinator replicates to its standby.
 
     :param service: the service.
     :param epoch: the coordinator's epoch.
-    :param whole: whether these are all upstreams with entries.
+    :param complete: whether these are all upstreams with entries.
     :param phases: all or some of them.
     """
 
@@ -186,7 +190,7 @@
 
 @wire.register(84)
 class Ask(typing.NamedTuple):
-    """A new coordinator asks a process what it holds for a service.
+    """A new coordinator's request for the leases outstanding for a service.
 
     :param service: the service.
     """
@@ -200,7 +204,8 @@
 
     :param service: the service.
     :param epoch: the highest epoch that the process has seen.
-    :param phases: what holds; a node knows no flaps and no backoff.
+    :param phases: the leases outstanding; a node doesn't know recent ejections
+        and backoff, and leaves them at 0.
     """
 
     service: str
--- a/carawaystair/outlier/node_leases.py
+++ b/carawaystair/outlier/node_leases.py
@@ -1,8 +1,8 @@
-"""What a node holds: leases that coordinators granted.
+"""Leases of a node: what coordinators granted it, and until when.
 
 A lease ends by itself, so that a coordinator that dies leaves nothing behind.
-The higher epoch counts, so that a coordinator that was cut off and still
-believes itself current can't overrule its successor.
+The higher epoch takes precedence, so that a coordinator that was cut off and
+still believes itself current can't overrule its successor.
 """
 
 import typing
@@ -11,17 +11,17 @@
 
 from carawaystair.outlier import messages
 
-# A coordinator of a higher epoch that has been silent for so long no longer
-# keeps others from being heard, seconds.
+# A coordinator of a higher epoch loses its precedence when it has been silent
+# for this time, seconds.
 EPOCH_TIMEOUT_S = 180.0
 
 
 class Lease(typing.NamedTuple):
     """One entry at a node.
 
-    :param entry: what the coordinator granted.
-    :param epoch: its epoch.
-    :param since: monotonic time at which its kind began to hold here.
+    :param entry: as granted by the coordinator.
+    :param epoch: the coordinator's epoch.
+    :param since: monotonic time since which its kind has been in force here.
     :param until: monotonic time of its end.
     """
 
@@ -32,7 +32,7 @@
 
 
 class NodeLeases:
-    """What a node holds for one service."""
+    """A node's leases for one service."""
 
     def __init__(self) -> None:
         self.newest_sender: tuple[int, str] = (0, '')
@@ -40,9 +40,9 @@
         self.leases: dict[str, Lease] = {}
 
     def accept(self, state: messages.State, now: float) -> bool:
-        """Take the word of a coordinator.
+        """Apply the entries of a coordinator.
 
-        :return: whether it was heeded; False for a stale one.
+        :return: whether they were accepted; False for stale ones.
         """
         newest_sender = (state.epoch, state.host)
         stale = (
@@ -67,7 +67,7 @@
         old = self.leases.get(entry.upstream)
         newer = old is None or epoch != old.epoch
         if not newer and entry.serial < old.entry.serial:
-            # A datagram that was overtaken by a later one.
+            # This datagram was overtaken by a later one.
             return
         if entry.kind == messages.CLEAR:
             self.leases.pop(entry.upstream, None)
@@ -78,7 +78,7 @@
         self.leases[entry.upstream] = Lease(entry, epoch, since, until)
 
     def expire(self, now: float) -> bool:
-        """Drop the leases that are over.
+        """Remove the leases that have ended.
 
         :return: whether there were any.
         """
@@ -92,7 +92,7 @@
         return changed
 
     def phases(self, now: float) -> tuple[messages.Phase, ...]:
-        """Return what is held, for a new coordinator."""
+        """Return the leases for a new coordinator."""
         return tuple(
             messages.Phase(
                 lease.entry._replace(ttl_ms=int((lease.until - now) * 1000))
@@ -101,20 +101,20 @@
         )
 
     def digest(self) -> int:
-        """Return the digest of what is held."""
+        """Return the digest of the leases."""
         return digest(lease.entry for lease in self.leases.values())
 
 
 def _same_tests(old: messages.Entry, new: messages.Entry) -> bool:
-    """Tell whether trials of the old entry still count under the new."""
+    """Return whether trials under the old entry count under the new one."""
     return (old.kind, old.copy_chance > 0) == (new.kind, new.copy_chance > 0)
 
 
 def digest(entries: typing.Iterable[messages.Entry]) -> int:
     """Return a number that differs when entries differ, 0 for none.
 
-    Entries of upstreams that are coming back end by themselves at slightly
-    different times at each node, so they are left out.
+    Entries of returning upstreams end by themselves at slightly different
+    times at each node, so they are left out.
     """
     total = 0
     for entry in entries:
--- a/carawaystair/outlier/paced_sender.py
+++ b/carawaystair/outlier/paced_sender.py
@@ -1,4 +1,4 @@
-"""Sends datagrams to many processes without holding up the event loop."""
+"""Sends datagrams to many processes without blocking the event loop."""
 
 import asyncio
 import collections
@@ -7,16 +7,17 @@
 
 import mode
 
-# So many datagrams go out at once, about a millisecond of work; then the
-# requests that wait get their turn.
+# Datagrams sent in one go, about a millisecond of work; then waiting requests
+# get their turn.
 BURST_DATAGRAMS = 40
 PAUSE_S = 0.002
-# Datagrams that wait; the oldest are dropped, later states repair them.
+# Datagrams in the queue; the oldest are dropped, and later states repair the
+# loss.
 MAX_QUEUE = 20_000
 
 
 class PacedSender(mode.Service):
-    """Paced sending.
+    """Sends datagrams in bursts with pauses between them.
 
     :param transport: the datagrams of this process.
     """
@@ -29,7 +30,7 @@
         self.sent = 0
 
     def send(self, addresses: typing.Iterable[str], messages) -> None:
-        """Send messages to each address, the first of them at once."""
+        """Send messages to each address, the first burst at once."""
         pairs = [
             (address, message) for address in addresses for message in messages
         ]
@@ -46,7 +47,7 @@
 
     @mode.Service.task
     async def _drain(self) -> None:
-        """Send what waits, a burst at a time."""
+        """Send the queue, a burst at a time."""
         while not self.should_stop:
             await self.wake.wait()
             await asyncio.sleep(PAUSE_S)
--- a/carawaystair/outlier/placement.py
+++ b/carawaystair/outlier/placement.py
@@ -1,9 +1,9 @@
-"""Which process coordinates a service, and which stands by.
+"""Which process coordinates a service, and which is its standby.
 
 Rendezvous hashing gives every process the same answer for the same members.
-The answers are kept and only those that a change of the members concerns are
-worked out again: ranking 2,500 members for 520 services at every restart of
-a host would cost a second of processor time.
+Answers are cached, and only those that a change of the members affects are
+computed again: ranking 2,500 members for 520 services at every restart of a
+host would take a second of processor time.
 """
 
 import typing
@@ -13,11 +13,11 @@
 
 
 class Assignment(typing.NamedTuple):
-    """The processes chosen for one service.
+    """The processes assigned to one service.
 
     :param coordinator: decides on ejections.
-    :param standby: takes over; in another data centre where there is one.
-        None in a fleet of one.
+    :param standby: takes over; in another data centre if there is one.  None
+        in a fleet of one.
     """
 
     coordinator: interfaces.Member
@@ -34,7 +34,7 @@
 
 
 class Placement:
-    """Choices over the members alive.
+    """Assigns services to the members alive.
 
     :param members: the members.
     """
@@ -46,7 +46,7 @@
         self.assignments: dict[str, Assignment] = {}
 
     def assignment(self, service: str) -> Assignment:
-        """Return the processes chosen for a service."""
+        """Return the processes assigned to a service."""
         found = self.assignments.get(service)
         if found is None:
             if not self.by_host:
@@ -58,7 +58,7 @@
     def possible_predecessors(
         self, service: str, count: int
     ) -> list[interfaces.Member]:
-        """Return the other members that may have coordinated before."""
+        """Return the other members most likely to have coordinated before."""
         others = [
             member
             for member in self.by_host.values()
@@ -67,13 +67,13 @@
         return rendezvous.rank(service, others)[:count]
 
     def coordinates_here(self, service: str) -> bool:
-        """Tell whether this process is the coordinator."""
+        """Return whether this process is the coordinator of a service."""
         return (
             self.assignment(service).coordinator.host == self.members.me.host
         )
 
     def refresh(self) -> bool:
-        """Look at the members again.
+        """Update to the members alive.
 
         :return: whether they changed.
         """
@@ -81,8 +81,8 @@
         if alive == self.alive:
             return False
         self.alive = alive
-        # A control host keeps its processor for the log, where there are
-        # others.
+        # The processor of a control host is reserved for the log, if there are
+        # other members.
         eligible = [member for member in alive if not member.control] or alive
         table = {member.host: member for member in eligible}
         old, self.by_host = self.by_host, table
@@ -108,7 +108,7 @@
 
 
 def _top_two(service, members):
-    """Return what ``rendezvous.spread`` would, without sorting all."""
+    """Return the same as ``rendezvous.spread`` without sorting all members."""
     members = tuple(members)
 
     def order(member):
--- a/carawaystair/outlier/recent_scores.py
+++ b/carawaystair/outlier/recent_scores.py
@@ -1,23 +1,23 @@
-"""Scores of the last second, to see what holds for a service as a whole.
+"""Scores of the last second, to detect changes of a service as a whole.
 
-Bursts of requests, a slow database, a busy network make all siblings worse at
-once; scores are then taken relative to what is usual just now.
+Bursts of requests, a slow database or a busy network make all siblings slower
+at once; scores are then taken relative to the typical score of the moment.
 """
 
 import itertools
 import math
 import typing
 
-# Attempts count for a third after this, seconds.
+# Time constant of the decay, seconds.
 DECAY_S = 1.0
-# Means are taken with so many usual attempts beside the real ones.
+# Attempts with the score 1.0 that are added to every mean.
 PRIOR_ATTEMPTS = 0.5
-# An upstream counts from so many attempts on.
+# An upstream counts from this many attempts on.
 MIN_ATTEMPTS = 0.3
-# The mean that three in four siblings exceed is what is usual.  So up to
-# three in four may fail and the rest still shows it.
+# The typical score is the mean that three in four siblings exceed, so that a
+# fault of up to three in four still shows against the rest.
 QUANTILE = 0.25
-# Means are sorted this often, seconds, and of so many upstreams at most.
+# Interval between sorts of the means, seconds, and the most upstreams sorted.
 SORT_INTERVAL_S = 0.05
 MAX_SORTED = 64
 
@@ -26,8 +26,8 @@
     """Scores of one upstream, decayed.
 
     :param count: attempts.
-    :param total: their scores.
-    :param failed: those without an answer or with one far too late.
+    :param total: sum of their scores.
+    :param failed: attempts that failed or were far too late.
     :param time: of the last attempt.
     """
 
@@ -37,7 +37,7 @@
     time: float = 0.0
 
     def decayed(self, now: float) -> 'DecayedScores':
-        """Return the same, decayed until ``now``."""
+        """Return the scores decayed until ``now``."""
         decay = math.exp((self.time - now) / DECAY_S)
         return DecayedScores(
             self.count * decay, self.total * decay, self.failed * decay, now
@@ -46,7 +46,7 @@
     def with_added(
         self, count: float, score: float, failed: bool, now: float
     ) -> 'DecayedScores':
-        """Return the same with more attempts."""
+        """Return the scores with more attempts."""
         old = self.decayed(now)
         return DecayedScores(
             old.count + count,
@@ -88,7 +88,7 @@
         return self.by_upstream.get(upstream, NOTHING).decayed(now)
 
     def typical_score(self, upstream: str, now: float) -> float:
-        """Return what score is usual among siblings, at least 1.0."""
+        """Return the typical score of an upstream's siblings, at least 1.0."""
         if now - self.sorted_at >= SORT_INTERVAL_S:
             self._sort(now)
         means = [mean for mean, name in self.sorted_means if name != upstream]
@@ -97,7 +97,7 @@
         return max(means[int(QUANTILE * len(means))], 1.0)
 
     def remove(self, upstream: str) -> None:
-        """Drop an upstream."""
+        """Remove an upstream."""
         self.by_upstream.pop(upstream, None)
 
     def _sort(self, now: float) -> None:
--- a/carawaystair/outlier/record_store.py
+++ b/carawaystair/outlier/record_store.py
@@ -1,7 +1,7 @@
-"""What the coordinator of one service holds against upstreams.
+"""The coordinator's records of the upstreams of one service.
 
-Every change goes through here, so that it gets a serial number, is sent and
-shows in the time line; and so does every question of the capacity floor.
+Every change is made here, so that it gets a serial number, is sent to nodes
+and shows in the timeline; so is every check of the capacity floor.
 """
 
 import typing
@@ -14,10 +14,10 @@
 
 
 class RecordStore:
-    """The tracks of one service.
+    """The records of one service.
 
     :param service: its name.
-    :param known: the upstreams.
+    :param index: the upstreams.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         self.index = index
         self.records: dict[str, upstream_record.UpstreamRecord] = {}
         self.serial = 0
-        # What is still to be sent and to be shown.
+        # Changes still to be sent, and events still to be recorded.
         self.changed: dict[str, upstream_record.UpstreamRecord] = {}
         self.events: list[upstream_record.Transition] = []
 
     def get_or_add(
         self, upstream: str, now: float
     ) -> upstream_record.UpstreamRecord:
-        """Return the track of an upstream, made when missing."""
+        """Return the record of an upstream, and add it if there is none."""
         found = self.records.get(upstream)
         if found is None:
             found = self.records[upstream] = upstream_record.UpstreamRecord(
@@ -43,7 +43,7 @@
         return found
 
     def unhealthy(self) -> tuple[upstream_record.UpstreamRecord, ...]:
-        """Return the tracks that nodes are told of, by id."""
+        """Return the records in any state but healthy, by id."""
         return tuple(
             record
             for _name, record in sorted(self.records.items())
@@ -51,21 +51,21 @@
         )
 
     def mark_changed(self, record: upstream_record.UpstreamRecord) -> None:
-        """Take note that nodes must be told of a track."""
+        """Mark a record to be sent to nodes."""
         self.serial += 1
         record.serial = self.serial
         self.changed[record.upstream] = record
 
     def add_event(self, kind: str, upstream: str, text: str) -> None:
-        """Show an event in the time line."""
+        """Add an event for the timeline."""
         self.events.append(upstream_record.Transition(kind, upstream, text))
 
     def floor_allows(
         self, record: upstream_record.UpstreamRecord, data_centre: str = ''
     ) -> bool:
-        """Tell whether the floor allows to take an upstream out.
+        """Return whether the floor allows taking an upstream out of service.
 
-        :param place: for callers of this data centre only, or empty.
+        :param data_centre: for callers of this data centre only, or empty.
         """
         upstream = self.index.by_id(self.service).get(record.upstream)
         if upstream is None:
@@ -82,12 +82,12 @@
         )
 
     def assert_floor(self) -> None:
-        """Assert that nothing granted brings the capacity below the floor."""
+        """Assert that grants don't bring the capacity below the floor."""
         for data_centre in {'', *self._limited_data_centres()}:
             out = self._out(data_centre)
             spare = self._spare(out)
-            # Losses of hosts may take capacity below the floor; the nodes
-            # then honour fewer ejections, see ``floor.clamp``.
+            # Losses of hosts may bring capacity below the floor; nodes then
+            # apply fewer ejections, see ``floor.clamp``.
             lost = self._spare(frozenset()) < 0
             detail = '%s %s %d' % (self.service, data_centre, spare)
             invariants.check(
--- a/carawaystair/outlier/report_outbox.py
+++ b/carawaystair/outlier/report_outbox.py
@@ -1,7 +1,7 @@
-"""Tells coordinators what this node's attempts showed.
+"""Attempts of this node that wait to be reported to coordinators.
 
-Bad attempts are told at once, good ones now and then and only in part, so
-that the cost falls on what is rare.  What a node sends is bounded by the pace
+Bad attempts are reported at once, good ones at intervals and only in part, so
+that the cost goes to what is rare.  What a node sends is limited by the pace
 that the coordinator sets and by a budget over all services.
 """
 
@@ -11,23 +11,24 @@
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
 
-# Until the coordinator sets a pace.
+# Defaults until the coordinator sets a pace.
 INTERVAL_S = 1.0
 MIN_SPACING_S = 0.1
-# Reports of bad attempts over all services, a second, and at once.
+# Budget for reports of bad attempts over all services: a second, and in a
+# burst.
 URGENT_PER_S = 20.0
 URGENT_BURST = 40.0
 MAX_CELLS = 24
 MAX_SAMPLES = 12
-# Bytes of cells in one datagram, and what a cell takes beside the name.
+# Bytes of cells in one datagram, and bytes of a cell without its id.
 CHUNK_BYTES = 1000
 CELL_BYTES = 22
-# A service that this node no longer uses is forgotten after this, seconds.
+# A service that this node no longer uses is removed after this, seconds.
 IDLE_TIMEOUT_S = 60.0
 
 
 class Outbox:
-    """What is to be told of one service.
+    """Unsent attempts at one service.
 
     :param service: the service.
     :param now: monotonic time.
@@ -67,7 +68,7 @@
         latency_s: float,
         rng: random.Random,
     ) -> None:
-        """Keep some of the latencies (reservoir sampling; Vitter, 1985)."""
+        """Sample the latencies (reservoir sampling; Vitter, 1985)."""
         self.samples_seen += 1
         number = levels.short_id(upstream)
         sample = messages.Sample(route, int(latency_s * 1e6), number)
@@ -79,13 +80,13 @@
             self.samples[place] = sample
 
     def drop_upstream(self, upstream: str) -> None:
-        """Drop what was to be told of an upstream."""
+        """Drop the unsent attempts at an upstream."""
         self.cells = {
             key: cell for key, cell in self.cells.items() if key[0] != upstream
         }
 
     def apply_pace(self, pace: messages.Pace) -> None:
-        """Follow the pace that the coordinator sets."""
+        """Apply the pace that the coordinator sets."""
         if pace.version != self.version:
             self.bounds = {}
         self.version = pace.version
@@ -98,13 +99,13 @@
         }
 
     def due_at(self, now: float) -> float:
-        """Return when this is to be sent; infinity when never."""
+        """Return when to send; infinity when there is nothing to send."""
         if self.urgent:
             return self.sent_at + self.min_spacing_s
         return self.sent_at + self.interval_s if self.cells else float('inf')
 
     def take_batch(self, rng: random.Random, now: float) -> 'Batch':
-        """Return what is to be told now and start anew."""
+        """Return the attempts to send now, and clear the outbox."""
         bad, good = [], []
         for (upstream, customer_class), counts in self.cells.items():
             cell = messages.Cell(
@@ -125,9 +126,9 @@
 
 
 class Batch(typing.NamedTuple):
-    """What an outbox held.
+    """The content of an outbox at the time of sending.
 
-    :param cells: the cells, those with anything bad first.
+    :param cells: the cells, those with bad attempts first.
     :param samples: some latencies.
     :param share: the share of the good cells that is sent.
     """
@@ -137,7 +138,7 @@
     share: float
 
     def chunks(self) -> typing.Iterator[tuple[messages.Cell, ...]]:
-        """Cut the cells so that each piece fits a datagram."""
+        """Split the cells so that each chunk fits a datagram."""
         piece: list[messages.Cell] = []
         room = CHUNK_BYTES
         for cell in self.cells:
@@ -164,7 +165,7 @@
         self.refilled_at = now
 
     def outbox(self, service: str, now: float) -> Outbox:
-        """Return the outbox of a service, made when missing."""
+        """Return the outbox of a service, and add it if there is none."""
         found = self.by_service.get(service)
         if found is None:
             found = self.by_service[service] = Outbox(service, now)
@@ -172,7 +173,7 @@
         return found
 
     def take_due(self, now: float) -> list[Outbox]:
-        """Return the outboxes to send now, and spend the budget on them."""
+        """Return the outboxes to send now, and charge them to the budget."""
         gained = (now - self.refilled_at) * URGENT_PER_S
         self.tokens = min(self.tokens + gained, URGENT_BURST)
         self.refilled_at = now
@@ -187,7 +188,7 @@
         return found
 
     def remove_idle(self, now: float) -> None:
-        """Drop the services that this node no longer uses."""
+        """Remove services that this node no longer uses."""
         self.by_service = {
             service: outbox
             for service, outbox in self.by_service.items()
--- a/carawaystair/outlier/report_pace.py
+++ b/carawaystair/outlier/report_pace.py
@@ -1,4 +1,4 @@
-"""How nodes report on one service: bounds of its routes, and how often."""
+"""How nodes report on one service: latency bounds and intervals."""
 
 import itertools
 import typing
@@ -7,25 +7,26 @@
 from carawaystair.outlier import messages
 from carawaystair.outlier import reporting_nodes
 
-# Bounds are worked out this often at most, seconds: at first soon, since
-# without bounds a hang shows at its timeout only.
+# Least time between computations of the bounds, seconds: shorter in the first
+# phase, since without bounds a hang shows only at its timeout.
 FIRST_INTERVAL_S = 1.0
 INTERVAL_S = 5.0
 FIRST_PHASE_S = 20.0
-# A change of a bound by less than this is not told.
+# Smaller relative changes of a bound are not sent; for intervals the limit is
+# twice this.
 MIN_CHANGE = 0.15
-# Reports of bad attempts that a coordinator takes for one service, a second.
+# Reports of bad attempts that a coordinator accepts for one service, a second.
 URGENT_PER_S = 250.0
 MIN_SPACING_S = 0.1
-# Above this many requests a second the one in a hundred that is merely slow
-# is told with the good ones.
+# Above this many requests a second, slow answers (one in a hundred) are
+# reported along with the good ones.
 BUSY_PER_S = 1000.0
-# Bounds of so many routes fit a datagram.
+# Bounds of this many routes fit a datagram.
 ROUTES_PER_DATAGRAM = 24
 
 
 class Pacer:
-    """Works out the pace of one service.
+    """Computes the pace of reports on one service.
 
     :param service: its name.
     :param now: monotonic time.
@@ -49,10 +50,10 @@
         min_latency_s: float,
         now: float,
     ) -> None:
-        """Work out the pace again when it is time to.
+        """Compute the pace again when it is due.
 
         :param rate: requests a second of the service.
-        :param least_s: see ``tuning.Tuning``.
+        :param min_latency_s: see ``tuning.Tuning``.
         """
         first = now - self.began < FIRST_PHASE_S
         if now - self.updated_at < (FIRST_INTERVAL_S if first else INTERVAL_S):
@@ -75,7 +76,7 @@
             self.interval_s, self.min_spacing_s = interval, spacing
 
     def pace_messages(self) -> tuple[messages.Pace, ...]:
-        """Return what a node is told."""
+        """Return the messages to a node."""
         rows = [
             messages.RouteBounds(route, tuple(int(x * 1e6) for x in bounds))
             for route, bounds in sorted(self.bounds.items())
--- a/carawaystair/outlier/reporting_nodes.py
+++ b/carawaystair/outlier/reporting_nodes.py
@@ -1,19 +1,19 @@
-"""The nodes that report to the coordinator of a service, and their pace."""
+"""The nodes that report to the coordinator of a service."""
 
 import math
 import typing
 
-# A node that has not reported for so long no longer counts, seconds.
+# A node that has not reported for this time no longer counts, seconds.
 FORGET_S = 60.0
-# Reports of good answers that a coordinator takes for one service, cells a
-# second.  Above it the nodes are told to report less often.
+# Cells of good answers that a coordinator accepts for one service, a second;
+# with more the nodes are told to report less often.
 CELLS_PER_S = 300.0
 MIN_INTERVAL_S = 1.0
 MAX_INTERVAL_S = 120.0
-# Work of one node counts for a third after this, seconds.
+# Time constant of the decay of a node's work, seconds.
 DECAY_S = 10.0
 SUM_INTERVAL_S = 1.0
-# Up to so many nodes one alone may convince the coordinator.
+# With up to this many nodes, reports of one alone are enough.
 MAX_SOLE_REPORTERS = 2
 
 
@@ -21,12 +21,12 @@
     """One reporting node.
 
     :param address: for datagrams.
-    :param data_centre: where it stands.
-    :param time: of its last report.
-    :param work: attempts of late, decayed.
-    :param cells: cells of a report, averaged.
-    :param copies: whether it offers copies as trials.
-    :param suspect: whether it suspects its own path.
+    :param data_centre: its data centre.
+    :param reported_at: time of its last report.
+    :param work: recent attempts, decayed.
+    :param cells: average number of cells in a report.
+    :param offers_copies: whether it offers copies as trials.
+    :param path_suspected: whether it suspects its own network path.
     """
 
     address: str
@@ -53,9 +53,9 @@
         self.newest_report = 0.0
 
     def update(self, host: str, new: ReportingNode) -> None:
-        """Take note of a report.
+        """Add a report.
 
-        :param new: what this report alone says.
+        :param new: the values of this report alone.
         """
         old = self.by_host.get(host)
         if old is not None:
@@ -67,7 +67,7 @@
         self.newest_report = new.reported_at
 
     def remove_silent(self, now: float) -> None:
-        """Drop the nodes that no longer report."""
+        """Remove nodes that no longer report."""
         self.by_host = {
             host: reporter
             for host, reporter in self.by_host.items()
@@ -75,18 +75,18 @@
         }
 
     def addresses(self) -> tuple[str, ...]:
-        """Return where the nodes are told."""
+        """Return the addresses of the nodes."""
         return tuple(one.address for one in self.by_host.values())
 
     def any_copies(self) -> bool:
-        """Tell whether any node offers copies."""
+        """Return whether any node offers copies."""
         return any(one.offers_copies for one in self.by_host.values())
 
     def believable(self, report_suspect: bool) -> bool:
-        """Tell whether failures that a node reports accuse upstreams.
+        """Return whether a node's failures are evidence against upstreams.
 
         A node that fails to reach most upstreams has a fault of its own,
-        unless half of the nodes find the same.
+        unless half of the nodes report the same.
         """
         if not report_suspect:
             return True
@@ -94,7 +94,7 @@
         return 2 * suspects >= len(self.by_host) > 1
 
     def share(self, host: str) -> float:
-        """Return a node's share of the service's attempts of late."""
+        """Return a node's share of the service's recent attempts."""
         if len(self.by_host) <= MAX_SOLE_REPORTERS or host not in self.by_host:
             return 1.0
         self._sum_work()
@@ -111,7 +111,7 @@
         )
 
     def _sum_work(self) -> None:
-        """Add up the work of all nodes, when that was long ago."""
+        """Add up the work of all nodes, unless that was done recently."""
         newest_report = self.newest_report
         if newest_report - self.summed_at <= SUM_INTERVAL_S:
             return
@@ -125,7 +125,7 @@
         self.total_work = sum(self.work_by_data_centre.values())
 
     def report_interval_s(self) -> float:
-        """Return how often a node should report good answers."""
+        """Return how often a node should report good answers, seconds."""
         cells = sum(one.cells for one in self.by_host.values())
         interval = cells / CELLS_PER_S
         return min(max(interval, MIN_INTERVAL_S), MAX_INTERVAL_S)
--- a/carawaystair/outlier/scope.py
+++ b/carawaystair/outlier/scope.py
@@ -1,4 +1,4 @@
-"""Who complains of an upstream: everybody, or one group of callers only.
+"""The scope of a failure: all callers, or one group of them.
 
 A failure between one node and an upstream, between one data centre and
 another, or for one customer's work only, is no reason to take the upstream
@@ -14,17 +14,18 @@
 DATA_CENTRE = 'data-centre'
 CUSTOMER = 'customer'
 
-# So much of what is bad must come from one group to speak of that group.
+# Share of the bad attempts that must come from one group to limit the scope to
+# it.
 CONCENTRATED_SHARE = 0.8
-# The others count as well served below this share of bad attempts.
+# The others are well served below this share of bad attempts.
 WELL_SERVED_SHARE = 0.2
-# That all bad attempts come from one group says nothing while chance alone
-# would bring it about this often.
+# That all bad attempts come from one group is no evidence of a limited scope
+# if it would happen by chance with this probability.
 CHANCE_LIMIT = 0.1
-# Bad attempts further apart than this belong to different episodes.
+# Bad attempts further apart than this belong to different episodes, seconds.
 EPISODE_S = 5.0
 MAX_EPISODE_S = 30.0
-# Reporters kept apart; more are counted as one.
+# Groups counted separately; any further ones are counted as one.
 MAX_GROUPS = 64
 OTHER_REPORTERS = '*'
 
@@ -41,7 +42,7 @@
 
 
 class Source(typing.NamedTuple):
-    """Where attempts come from, in the order of the kinds of groups.
+    """The origin of attempts, in the order of the kinds of groups.
 
     :param reporter: the node.
     :param data_centre: its data centre.
@@ -54,12 +55,12 @@
 
 
 def group_key(upstream: str, kind: str, group: str) -> str:
-    """Return the name under which a detector weighs one group."""
+    """Return the detector's key for one group of an upstream's callers."""
     return '%s\0%s\0%s' % (upstream, kind, group)
 
 
 class Scope(typing.NamedTuple):
-    """Whom an upstream fails.
+    """The callers that an upstream fails.
 
     :param kind: one of the constants above.
     :param group: the reporter, data centre or class of customers.
@@ -73,7 +74,7 @@
 
 
 class Episode:
-    """Attempts at one upstream since something bad happened there.
+    """Attempts at one upstream since its first bad attempt.
 
     :param now: monotonic time.
     """
@@ -81,7 +82,7 @@
     def __init__(self, now: float) -> None:
         self.started_at = now
         self.last_bad_at = now
-        # Unproven attempts that weigh, see ``intake``.
+        # Unproven attempts that count as evidence, see ``ingestion``.
         self.unproven = 0.0
         self.groups: dict[str, dict[str, GroupAttempts]] = {
             REPORTER: {},
@@ -90,7 +91,7 @@
         }
 
     def ended(self, now: float) -> bool:
-        """Tell whether nothing bad happened for long enough."""
+        """Return whether there were no bad attempts for long enough."""
         quiet = now - self.last_bad_at > EPISODE_S
         return quiet or now - self.started_at > MAX_EPISODE_S
 
@@ -105,7 +106,7 @@
     def group_keys(
         self, upstream: str, source: Source | None = None
     ) -> list[str]:
-        """Return a detector's names of the groups that saw something bad.
+        """Return the detector's keys of the groups with bad attempts.
 
         :param source: only its groups, or None for all.
         """
@@ -125,9 +126,9 @@
         return self.groups[REPORTER].get(reporter, GroupAttempts()).bad
 
     def scope(self, enough: int, share: Share) -> Scope:
-        """Return whom the upstream fails.
+        """Return the callers that the upstream fails.
 
-        :param enough: good answers to others that clear it for them.
+        :param enough: good answers to others that show it works for them.
         :param share: returns a group's usual share of all attempts.
         """
         candidates = (
@@ -140,7 +141,7 @@
 
 
 def _concentrated(kind, groups, enough, share) -> Scope | None:
-    """Return the group that all that is bad comes from, if there is one."""
+    """Return the group that nearly all bad attempts come from, if any."""
     total = sum(seen.bad for seen in groups.values())
     group, top = max(groups.items(), key=lambda item: (item[1].bad, item[0]))
     if total <= 0.0 or top.bad < CONCENTRATED_SHARE * total:
--- a/carawaystair/outlier/service.py
+++ b/carawaystair/outlier/service.py
@@ -1,4 +1,4 @@
-"""Outlier detection of one process: puts its parts together."""
+"""The outlier detection service of one process."""
 
 import asyncio
 import random
@@ -20,24 +20,24 @@
 from carawaystair import timeline as timelines
 
 SWEEP_S = 1.0
-# The detector of a service that names one that is not installed.
+# Used for a service whose manifest names a detector that is not installed.
 DEFAULT_DETECTOR = 'siblings'
 
 Sleep = typing.Callable[[float], typing.Awaitable]
 
 
 class OutlierDetection(mode.Service):
-    """Keeps ``interfaces.Health`` and ``interfaces.Evidence``.
+    """Implements ``interfaces.Health`` and ``interfaces.Evidence``.
 
     :param members: the processes of the fleet.
     :param directory: the upstreams.
     :param routing: returns the current routing.
-    :param links: questions and answers between processes.
+    :param links: requests between processes.
     :param datagrams: reports and states between processes.
-    :param timeline: takes the events.
+    :param timeline: records events.
     :param factories: detector factories by name.
     :param rng: source of randomness.
-    :param sleep: waits; tests let it stall to stand in for a pause.
+    :param sleep: waits; tests pass one that stalls to simulate a pause.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._bind_request_path()
 
     def _bind_request_path(self) -> None:
-        """Take the hot path straight to the parts."""
+        """Bind the methods of the request path without an extra call."""
         self.ejected = self.health.ejected
         self.weight = self.health.weight
         self.trial = self.health.trial
@@ -98,7 +98,7 @@
         self.record_health_hint = self.evidence.record_health_hint
 
     def send(self, addresses: typing.Iterable[str], parts) -> None:
-        """Send datagrams; those to this process take no detour."""
+        """Send datagrams; those to this process are handled directly."""
         me = self.members.me.gossip
         others = [address for address in addresses if address != me]
         if len(others) < len(tuple(addresses)):
@@ -112,7 +112,7 @@
         self.send((chosen.coordinator.gossip,), (report,))
 
     def make_detector(self, service: str) -> detectors.Detector:
-        """Return a new detector of the kind that a service asks for."""
+        """Return a new detector as configured for a service."""
         name = self.index.service(service).detector
         return self.factories.get(name, self.factories[DEFAULT_DETECTOR])()
 
@@ -125,14 +125,14 @@
 
     @mode.Service.task
     async def _tick(self) -> None:
-        """Look for overdue answers and send what is due."""
+        """Check attempts in flight and send the reports that are due."""
         while not self.should_stop:
             await self.sleep(in_flight.TICK_S)
             self.evidence.tick(clock.now())
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """Forget what is over."""
+        """Remove what has expired."""
         while not self.should_stop:
             await self.sleep(SWEEP_S)
             now = clock.now()
--- a/carawaystair/outlier/service_outage.py
+++ b/carawaystair/outlier/service_outage.py
@@ -1,31 +1,32 @@
-"""Notices that all upstreams of a service are bad at once.
+"""Detects that all upstreams of a service are bad at once.
 
-Ejecting some of them then helps nobody: the cause is elsewhere, and what is
-ejected is missing.  All are used again until some of them recover.
+Ejecting some of them would not help: the cause is elsewhere, and their
+capacity would be missing.  All are used until some of them recover.
 """
 
 from carawaystair import interfaces
 from carawaystair.outlier import evidence_pool
 from carawaystair.outlier import record_store
 
-# All upstreams are bad when so many of those judged fail so many of their
-# attempts.  Slowness of the remaining ones under the load of the ejected does
-# not reach it.
+# There is an outage when this share of the upstreams with enough attempts fail
+# at least this share of them.  Remaining upstreams that are merely slow under
+# the load of the ejected ones don't reach it.
 MIN_BAD_SHARE = 0.75
 MIN_FAILED_SHARE = 0.6
-# An upstream is judged from so many attempts of late.
+# An upstream counts from this many recent attempts on.
 MIN_ATTEMPTS = 2.0
 MIN_UPSTREAMS = 2
-# It is over when fewer than this were bad for so long.
+# The outage ends when a smaller share of upstreams than this has been bad for
+# this time.
 RECOVERED_SHARE = 0.4
 RECOVERED_S = 3.0
 CHECK_INTERVAL_S = 0.25
 
 
 class ServiceOutage:
-    """Watches one service.
+    """Watches the upstreams of one service.
 
-    :param ledger: its upstreams.
+    :param store: its upstreams.
     :param pool: their evidence.
     """
 
@@ -39,9 +40,9 @@
         self.checked_at = -1e9
 
     def tick(self, now: float) -> bool:
-        """Look again.
+        """Check for the start or the end of an outage.
 
-        :return: whether all upstreams have just turned bad.
+        :return: whether an outage has just started.
         """
         if now - self.checked_at < CHECK_INTERVAL_S:
             return False
@@ -50,14 +51,14 @@
         if not self.active and share >= MIN_BAD_SHARE:
             self.active = True
             self.last_bad_at = now
-            text = 'Ejections have stopped and every upstream is used.'
+            text = 'Ejections are suspended and all upstreams are used.'
             self.store.add_event('all-upstreams-bad', '', text)
             return True
         if self.active and share >= RECOVERED_SHARE:
             self.last_bad_at = now
         if self.active and now - self.last_bad_at >= RECOVERED_S:
             self.active = False
-            text = 'Some upstreams are well again; ejections are resumed.'
+            text = 'Some upstreams are healthy again; ejections resume.'
             self.store.add_event('some-upstreams-good', '', text)
         return False
 
--- a/carawaystair/outlier/state_machine.py
+++ b/carawaystair/outlier/state_machine.py
@@ -1,8 +1,8 @@
-"""Decides on upstreams of one service by the evidence against them.
+"""Decides on the state of each upstream of one service by its evidence.
 
-Each upstream goes from healthy over suspected (held and tested at once) to
-ejected, then tried with copies of real requests, returning with a growing
-share, and healthy again.
+An upstream goes from healthy to suspected (little work, tested at once) to
+ejected, then on trial with copies of real requests, returning with a growing
+share of work, and healthy again.
 """
 
 import random
@@ -15,26 +15,28 @@
 from carawaystair.outlier import tuning as tunings
 from carawaystair.outlier import upstream_record
 
-# A refusal for the floor is told again after this, seconds.
+# Least time between events of the same refusal for the floor, seconds.
 REFUSED_INTERVAL_S = 30.0
-# One of many groups is bad by chance more often than all callers together;
-# nats.
+# Subtracted from the evidence of a single group, nats: with many groups, one
+# of them is bad by chance more often than all callers together.
 GROUP_PENALTY = 5.0
-# When so many others became suspect within so long, a common cause is likely:
-# the evidence is then weighed anew, against siblings as they are now.
+# When this share of the other upstreams, and at least this many, became
+# suspected within this time, a common cause is likely: the evidence is then
+# collected again, relative to siblings as they are now.
 COMMON_CAUSE_SHARE = 0.3
 COMMON_CAUSE_MIN = 2
 COMMON_CAUSE_S = 1.5
-# Ejections begun at the same time are tried at different times.
+# Factors on the backoff, so that upstreams ejected together are tried at
+# different times.
 BACKOFF_JITTER = (0.9, 1.1)
 
 
 class StateMachine:
-    """Decides for one service.
+    """Decides on the upstreams of one service.
 
-    :param ledger: takes the decisions.
-    :param pool: the evidence.
-    :param detector: weighs it.
+    :param store: records the decisions.
+    :param pool: the attempts.
+    :param detector: computes the evidence.
     :param reporters: the reporting nodes.
     :param rng: source of randomness.
     """
@@ -73,27 +75,27 @@
     def clear(
         self, record: upstream_record.UpstreamRecord, now: float
     ) -> None:
-        """Hold nothing against an upstream any more."""
+        """Return an upstream to the healthy state."""
         record.set_state(upstream_record.HEALTHY, 1.0, now)
         record.scope = scopes.Scope(scopes.EVERYBODY)
         self.pool.include(record.upstream)
         self.store.mark_changed(record)
 
     def reset_evidence(self, record: upstream_record.UpstreamRecord) -> None:
-        """Weigh an upstream anew."""
+        """Drop the evidence of an upstream and of its groups of callers."""
         self.detector.reset(record.upstream)
         self.reset_group_evidence(record)
 
     def reset_group_evidence(
         self, record: upstream_record.UpstreamRecord
     ) -> None:
-        """Weigh the groups of its callers anew."""
+        """Drop the evidence of the groups of its callers."""
         if record.episode is not None:
             for key in record.episode.group_keys(record.upstream):
                 self.detector.reset(key)
 
     def _evidence(self, record, now) -> float:
-        """Return the evidence from all callers or from one group of them."""
+        """Return the evidence of all callers or of one group of them."""
         total_evidence = self.detector.evidence(record.upstream, now)
         if record.episode is None:
             return total_evidence
@@ -141,7 +143,7 @@
             record.set_state(upstream_record.RETURNING, 1.0, now)
             self.pool.include(record.upstream)
             self.store.mark_changed(record)
-            text = 'It answered %d trials well.' % tuning.min_trials
+            text = 'It passed %d trials.' % tuning.min_trials
             self.store.add_event('upstream-returned', record.upstream, text)
 
     def _step_returning(self, record, evidence, tuning, now) -> None:
@@ -151,7 +153,7 @@
             self.clear(record, now)
 
     def _suspect(self, record, evidence, tuning, now) -> None:
-        """Suspect an upstream: hardly any work, and trials at once."""
+        """Suspect an upstream: hardly any work, and tests at once."""
         record.severity = evidence
         record.scope = scopes.Scope(scopes.EVERYBODY)
         floor_allows = not self._common_cause_likely(
@@ -167,7 +169,13 @@
         self.store.add_event('upstream-suspected', record.upstream, text)
 
     def _decide_ejection(self, record, tuning, now) -> None:
-        """Eject a suspect, for those whom it fails."""
+        """Eject an upstream with enough evidence for the callers it fails.
+
+        The decision is put off while the bad attempts span too short a time, a
+        common cause is likely or the scope is unknown.  When one node alone
+        fails to reach the upstream, its path is at fault and nothing is
+        ejected.
+        """
         episode = record.episode
         if (
             episode is None
@@ -201,7 +209,7 @@
     def _common_cause_likely(
         self, record: upstream_record.UpstreamRecord, now: float
     ) -> bool:
-        """Tell whether many others became suspect at about the same time."""
+        """Return whether many others were suspected at about the same time."""
         others = sum(
             one.suspected_at > now - COMMON_CAUSE_S
             for one in self.store.records.values()
--- a/carawaystair/outlier/tuning.py
+++ b/carawaystair/outlier/tuning.py
@@ -1,4 +1,7 @@
-"""The two settings of the trade between speed and false ejections."""
+"""Parameters of detection for the two settings of the manifest.
+
+``fast`` and ``conservative`` trade speed against false ejections.
+"""
 
 import typing
 
@@ -6,24 +9,25 @@
 
 
 class Tuning(typing.NamedTuple):
-    """How a coordinator reacts.  Evidence is in nats, see ``detectors``.
+    """Parameters of a coordinator.  Evidence is in nats, see ``detectors``.
 
-    :param suspect: evidence from which an upstream is held and tested.
-    :param eject: evidence from which it is ejected.
-    :param clear: evidence below which a suspicion ends.
-    :param span_s: bad attempts must arrive over at least this time: a short
-        stall of an upstream is no gray failure.
-    :param trickle: share of ordinary work that goes to an upstream under
-        test where no copies of requests are to be had.
-    :param hold_s: a hold without new evidence is softened after this.
+    :param suspect_nats: evidence from which an upstream is suspected and
+        tested.
+    :param eject_nats: evidence from which it is ejected.
+    :param clear_nats: evidence below which a suspicion ends.
+    :param min_bad_span_s: bad attempts must arrive over at least this time: a
+        short stall of an upstream is no gray failure.
+    :param test_share: share of ordinary work that an upstream under test gets
+        where no copies of requests are available.
+    :param hold_s: a suspicion without new evidence is softened after this.
     :param backoff_s: time from an ejection to the first trial.
-    :param slow_start_s: time in which a returned upstream gets its share.
-    :param trials: good trials before a return.
-    :param scope_wait_s: how long to wait for word of other callers before
+    :param slow_start_s: time in which a returned upstream regains its share.
+    :param min_trials: good trials before a return.
+    :param scope_wait_s: how long to wait for results of other callers before
         an upstream is ejected for all of them.
-    :param scope_good: good answers to others that limit an ejection to the
-        callers that complain.
-    :param least_s: latencies below this are never unusual.
+    :param scope_min_good: good answers to others that limit an ejection to the
+        callers that fail.
+    :param min_latency_s: latencies below this are never unusual.
     """
 
     suspect_nats: float
@@ -71,5 +75,5 @@
 
 
 def for_service(service: manifest.Service) -> Tuning:
-    """Return the tuning that a service asks for."""
+    """Return the tuning for a service."""
     return FAST if service.detection == manifest.FAST else CONSERVATIVE
--- a/carawaystair/outlier/upstream_index.py
+++ b/carawaystair/outlier/upstream_index.py
@@ -1,7 +1,7 @@
-"""The upstreams of the services, and which of them can take work.
+"""The upstreams of each service, and which of them can take work.
 
-Lookups are kept until the directory changes, since a report of a busy service
-names many upstreams.
+Lookups are cached until the directory changes, since a report of a busy
+service names many upstreams.
 """
 
 import math
@@ -11,20 +11,20 @@
 from carawaystair import interfaces
 from carawaystair import manifest
 
-# An upstream that does not say how long it warms up gets so long before its
-# slowness is held against it, seconds.
+# An upstream gets at least this time to warm up before its slowness counts as
+# evidence, seconds.
 MIN_GRACE_S = 3.0
 # Share of work of an upstream that has just started.
 COLD_WEIGHT = 0.1
-# For so long after a life has ended, attempts that began in it may still be
-# told, seconds.
+# For this time after a restart, attempts of the earlier incarnation may still
+# be reported, seconds.
 FORGET_ENDED_S = 90.0
 
 RestartCallback = typing.Callable[[interfaces.Upstream], None]
 
 
 class UpstreamIndex:
-    """The upstreams as this process sees them.
+    """The upstreams as seen by this process.
 
     :param directory: the directory.
     :param routing: returns the current routing.
@@ -39,19 +39,20 @@
             str, dict[str, interfaces.Upstream]
         ] = {}
         self.versions: dict[str, int] = {}
-        # When each incarnation was first seen; what was there before this
-        # process counts as just started too, on the safe side of the floor.
+        # When each incarnation was first seen.  Upstreams that were there
+        # before this process count as just started, which is safe for the
+        # floor.
         self.first_seen: dict[str, tuple[int, float]] = {}
-        # Upstreams that started after this process and still warm up.
+        # Upstreams that started after this process and are warming up.
         self.cold: dict[str, interfaces.Upstream] = {}
-        # When the last life of an upstream that ended did so.
+        # When the previous incarnation of an upstream ended.
         self.ended_at: dict[str, float] = {}
-        # Called with each upstream that has started again under its id.
+        # Called with each upstream that has restarted under the same id.
         self.restart_callbacks: list[RestartCallback] = []
         directory.subscribe(self._changed)
 
     def service(self, name: str) -> manifest.Service:
-        """Return what the manifest says of a service."""
+        """Return the manifest's settings of a service."""
         return self.routing().service(name) or manifest.Service()
 
     def by_id(self, service: str) -> dict[str, interfaces.Upstream]:
@@ -73,11 +74,11 @@
         return clock.now() - self._first_seen(upstream)
 
     def warmed_up(self, upstream: interfaces.Upstream) -> bool:
-        """Tell whether its warm-up is over, as seen from here."""
+        """Return whether its warm-up is over, as seen from here."""
         return self.age(upstream) >= upstream.warmup_s
 
     def usable(self, upstream: interfaces.Upstream) -> bool:
-        """Tell whether it counts as capacity while it is not ejected."""
+        """Return whether it counts as capacity while it is not ejected."""
         return (
             upstream.state == interfaces.UP
             and self.warmed_up(upstream)
@@ -85,21 +86,21 @@
         )
 
     def eligible(self, upstream: interfaces.Upstream) -> bool:
-        """Tell whether slowness would be a sign of gray failure.
+        """Return whether slowness would be a sign of gray failure.
 
         Cold and draining upstreams are slow for a known reason.
         """
         return self.age(upstream) >= MIN_GRACE_S and self.usable(upstream)
 
     def from_earlier_incarnation(self, upstream: str, started: float) -> bool:
-        """Tell whether an attempt began in a life that has ended.
+        """Return whether an attempt began before the upstream's last restart.
 
         :param started: when the attempt began.
         """
         return started < self.ended_at.get(upstream, -math.inf)
 
     def sweep(self, now: float) -> None:
-        """Forget lives that ended long ago."""
+        """Remove restarts that were long ago."""
         old = [
             n for n, at in self.ended_at.items() if now - at > FORGET_ENDED_S
         ]
@@ -107,7 +108,7 @@
             del self.ended_at[name]
 
     def warmup_share(self, upstream: str) -> float:
-        """Return the share of work of an upstream that may be cold."""
+        """Return the share of work of an upstream that may be warming up."""
         cold = self.cold.get(upstream)
         if cold is None:
             return 1.0
--- a/carawaystair/outlier/upstream_record.py
+++ b/carawaystair/outlier/upstream_record.py
@@ -1,4 +1,4 @@
-"""One upstream as the coordinator of its service sees it."""
+"""The coordinator's record of one upstream."""
 
 import typing
 
@@ -12,15 +12,15 @@
 ON_TRIAL = 'tried'
 RETURNING = 'returning'
 
-# Weight below which an upstream counts as taken out of service.
+# Below this weight an upstream counts as out of service.
 OUT_OF_SERVICE_WEIGHT = 0.1
-# Weight of a suspect whose hold was softened or refused.
+# Weight of a suspect when the floor doesn't allow more or evidence is old.
 REDUCED_WEIGHT = 0.3
-# Ejections of late count half after this, seconds.
+# Half-life of the count of recent ejections, seconds.
 EJECTIONS_HALF_LIFE_S = 300.0
 MAX_DOUBLINGS = 5
 MAX_BACKOFF_S = 300.0
-# A suspicion lease outlives its hold by this, seconds.
+# A lease for a suspicion is longer than ``hold_s`` by this, seconds.
 LEASE_SLACK_S = 2.0
 MILLI = 1000
 MICRO = 1_000_000
@@ -43,7 +43,7 @@
         self.scope = scopes.Scope(scopes.EVERYBODY)
         self.severity = 0.0
         self.episode: scopes.Episode | None = None
-        # Trials answered well and badly in this state.
+        # Trials answered since the state was entered.
         self.good_trials = 0.0
         self.backoff_until = now
         self.recent_ejections = 0.0
@@ -51,29 +51,31 @@
         self.refused_at = -1e9
         self.hinted_at = -1e9
         self.suspected_at = -1e9
-        # When the evidence was weighed anew, see ``judge``.
+        # When the evidence was dropped for a common cause, see
+        # ``state_machine``.
         self.evidence_reset_at = -1e9
         self.incarnation: int | None = None
-        # Whether nodes beyond those that use the service were told.
+        # Whether it was announced to nodes that don't use the service.
         self.announced_to_all = False
 
     def set_state(self, state: str, weight: float, now: float) -> None:
-        """Change the state."""
+        """Enter a state."""
         self.state = state
         self.weight = weight
         self.state_since = now
         self.good_trials = 0.0
 
     def decayed_ejections(self, now: float) -> float:
-        """Return the ejections of late."""
+        """Return the number of recent ejections, decayed."""
         age = now - self.recent_ejections_at
         return self.recent_ejections * 0.5 ** (age / EJECTIONS_HALF_LIFE_S)
 
     def back_off(self, base_s: float, jitter: float, now: float) -> None:
-        """Set the time of the next trial and count this ejection.
+        """Count this ejection and set the time of the next trial.
 
-        :param jitter: factor about 1.0, so that upstreams ejected together
-            are not tried together.
+        :param base_s: backoff of the first ejection, seconds.
+        :param jitter: factor about 1.0, so that upstreams ejected together are
+            not tried together.
         """
         recent_ejections = self.decayed_ejections(now)
         wait = base_s * 2 ** min(recent_ejections, MAX_DOUBLINGS) * jitter
@@ -84,7 +86,7 @@
         )
 
     def forgettable(self, now: float) -> bool:
-        """Tell whether nothing need be remembered of the upstream."""
+        """Return whether the record holds nothing worth keeping."""
         quiet = self.episode is None or self.episode.ended(now)
         return (
             self.state == HEALTHY
@@ -94,15 +96,15 @@
 
     @property
     def global_scope(self) -> bool:
-        """Tell whether what is held concerns every caller."""
+        """Return whether the state applies to all callers."""
         return self.scope.kind == scopes.EVERYBODY
 
     @property
     def out_of_service(self) -> bool:
-        """Tell whether it is taken out of service for every caller.
+        """Return whether it is out of service for all callers.
 
-        One that is coming back is not yet counted as capacity, so that a
-        second loss right after a return can't bring it below the floor.
+        A returning upstream is not yet counted as capacity, so that a second
+        loss right after its return can't bring the capacity below the floor.
         """
         if self.state == HEALTHY or not self.global_scope:
             return False
@@ -111,10 +113,10 @@
     def entry(
         self, tuning: tunings.Tuning, trial: float, lease_s: float, now: float
     ) -> messages.Entry:
-        """Return what nodes are told.
+        """Return the entry for nodes.
 
-        :param trial: chance that a request is copied to it, while tried.
-        :param lease_s: length of an ejection's lease.
+        :param trial: chance that a request is copied to it, while tested.
+        :param lease_s: length of an ejection's lease, seconds.
         """
         kind, ttl = KINDS[self.state], lease_s
         on_trial = self.state in (SUSPECTED, ON_TRIAL)
@@ -152,7 +154,7 @@
 
 
 class Transition(typing.NamedTuple):
-    """A change of state that the time line shows.
+    """A change of state as shown in the timeline.
 
     :param kind: name of the event.
     :param upstream: the upstream.
--- a/carawaystairplug/detector_consecutive.py
+++ b/carawaystairplug/detector_consecutive.py
@@ -1,8 +1,8 @@
-"""Detector: failures in a row, as seen by each node alone.
+"""Detector: consecutive failures, as seen by each node alone.
 
-This is what most proxies do by default, and the baseline that the other
-detectors are measured against.  A node that sends an upstream a request now
-and then needs a long time to see a row of failures.
+This is the default of most proxies and the baseline for the other detectors.
+A node that sends an upstream few requests takes long to see several failures
+in a row.
 """
 
 import typing
@@ -10,7 +10,7 @@
 from carawaystair.outlier import detectors
 from carawaystair import plugins
 
-# So many failures in a row eject.
+# This many failures in a row eject an upstream.
 FAILURES_IN_A_ROW = 5
 # Failures score far above this, slow answers mostly below.
 FAILURE_SCORE = 4.0
@@ -28,7 +28,7 @@
     def observe(
         self, upstream: str, score: float, count: float, now: float
     ) -> None:
-        """Count a failure, or end the row."""
+        """Count a failure, or reset the count."""
         if score < FAILURE_SCORE:
             self.failures.pop(upstream, None)
         else:
@@ -37,7 +37,7 @@
             )
 
     def evidence(self, upstream: str, now: float) -> float:
-        """Return enough evidence once the row is long enough."""
+        """Return enough evidence to eject once there are enough failures."""
         return (
             CERTAIN_NATS
             if self.failures.get(upstream, 0) >= FAILURES_IN_A_ROW
@@ -45,7 +45,7 @@
         )
 
     def reset(self, upstream: str) -> None:
-        """Start a new row."""
+        """Reset the count."""
         self.failures.pop(upstream, None)
 
 
@@ -55,7 +55,7 @@
 
 
 class Plugin(plugins.Plugin):
-    """Brings the detector ``consecutive``."""
+    """Provides the detector ``consecutive``."""
 
     name = 'detector-consecutive'
 
--- a/carawaystairplug/detector_sequential.py
+++ b/carawaystairplug/detector_sequential.py
@@ -1,8 +1,9 @@
-"""Detector: a cumulative sum on scores (CUSUM; Page, 1954).
+"""Detector: a cumulative sum of scores (CUSUM; Page, 1954).
 
-Each score moves a sum by its log likelihood ratio between a gray upstream
-and a healthy one; the sum never falls below zero.  It is the quickest test
-for one known size of fault, and it forgets nothing but by good answers.
+Each score changes a sum by its log likelihood ratio between an upstream with a
+gray failure and a healthy one; the sum never falls below zero.  This is the
+fastest test for one known size of fault.  Besides good answers, only a slow
+decay lowers the sum.
 """
 
 import math
@@ -11,7 +12,7 @@
 from carawaystair.outlier import detectors
 from carawaystair import plugins
 
-# Evidence that nothing confirms fades, seconds for a third.
+# Time constant of the decay of the sum, seconds.
 DECAY_S = 20.0
 MAX_NATS = 60.0
 
@@ -34,7 +35,7 @@
     def observe(
         self, upstream: str, score: float, count: float, now: float
     ) -> None:
-        """Move the sum."""
+        """Add attempts to the sum."""
         step = count * detectors.log_likelihood_ratio(score)
         value = min(self.evidence(upstream, now) + step, MAX_NATS)
         if value <= 0.0:
@@ -43,7 +44,7 @@
             self.sums[upstream] = Sum(value, now)
 
     def evidence(self, upstream: str, now: float) -> float:
-        """Return the sum, faded."""
+        """Return the sum, decayed."""
         total = self.sums.get(upstream)
         if total is None:
             return 0.0
@@ -60,7 +61,7 @@
 
 
 class Plugin(plugins.Plugin):
-    """Brings the detector ``sequential``."""
+    """Provides the detector ``sequential``."""
 
     name = 'detector-sequential'
 
--- a/carawaystairplug/detector_siblings.py
+++ b/carawaystairplug/detector_siblings.py
@@ -2,14 +2,16 @@
 
 In each window the scores are tested by the generalised likelihood ratio for
 exponential scores with a mean above a bound: ``n (r - 1 - ln r)`` where r is
-the mean over the bound (the exponential form of Lorden's test, 1971).  It
-finds the size of the fault by itself: a hang within a few attempts, a mild
-slowdown within a longer window.  The longer the window, the larger the least
-mean that counts, since healthy siblings are never quite equal.
+the mean over the bound (the exponential form of Lorden's test, 1971).  The
+test estimates the size of the fault itself: a hang shows within a few
+attempts, a mild slowdown within a longer window.  The longer the window, the
+larger the least mean that counts, since healthy siblings are never quite
+equal.
 
 Good answers from before a fault dilute the first failures in every window, so
-a cumulative sum (CUSUM; Page, 1954) runs beside them, which forgets the good
-ones; alone it would be alarmed by every rare answer, hence the penalty.
+a cumulative sum (CUSUM; Page, 1954) is computed as well, which good answers
+bring back to zero.  On its own it would react to every rare answer, hence the
+penalty.
 """
 
 import math
@@ -22,8 +24,8 @@
 class Window(typing.NamedTuple):
     """One window.
 
-    :param memory_s: time after which an attempt counts for a third.
-    :param least: mean scores up to this are healthy.
+    :param decay_s: time constant of the decay, seconds.
+    :param min_mean: mean scores up to this are healthy.
     """
 
     decay_s: float
@@ -38,16 +40,16 @@
 )
 
 
-# Taken off the cumulative sum, nats: one failure is then enough to suspect an
-# upstream where detection is fast, one slow answer is not.
+# Subtracted from the cumulative sum, nats: one failure is then enough to
+# suspect an upstream with fast detection, one slow answer is not.
 PENALTY = 1.2
-# The sum fades when nothing confirms it, seconds for a third.
+# Time constant of the decay of the cumulative sum, seconds.
 DECAY_S = 30.0
 MAX_NATS = 60.0
 
 
 class Tally:
-    """Attempts and scores of one upstream."""
+    """Decayed attempts and scores of one upstream."""
 
     __slots__ = ('time', 'counts', 'sums', 'cusum')
 
@@ -81,7 +83,7 @@
     def _windows(self, minus_age_s: float) -> typing.Iterator[float]:
         """Yield the evidence of each window.
 
-        :param gone: minus the seconds since the last attempt.
+        :param minus_age_s: minus the seconds since the last attempt.
         """
         return (
             ratio_test(count, total, window.min_mean)
@@ -91,7 +93,7 @@
 
 
 def ratio_test(count: float, total: float, min_mean: float) -> float:
-    """Return the log likelihood ratio for a mean above ``least``.
+    """Return the log likelihood ratio for a mean above ``min_mean``.
 
     :param count: attempts.
     :param total: sum of their scores.
@@ -135,7 +137,7 @@
 
 
 class Plugin(plugins.Plugin):
-    """Brings the detector ``siblings``."""
+    """Provides the detector ``siblings``."""
 
     name = 'detector-siblings'
 
--- a/test/test_outlier_coordinator.py
+++ b/test/test_outlier_coordinator.py
@@ -254,11 +254,11 @@
 
     async def body(bench, sleep):
         for node in range(20):
-            bench.report(node, {levels.REPORTED_ILL: 1}, 'u1')
+            bench.report(node, {levels.REPORTED_UNHEALTHY: 1}, 'u1')
             await sleep(0.2)
         assert not bench.events()
         for node in range(6):
-            bench.report(node, {levels.OVERDUE: 1, levels.REPORTED_WELL: 1})
+            bench.report(node, {levels.OVERDUE: 1, levels.REPORTED_HEALTHY: 1})
             await sleep(0.1)
         record = bench.part.store.records['u3']
         assert record.state == 'ejected'
--- a/test/test_outlier_fleet.py
+++ b/test/test_outlier_fleet.py
@@ -132,7 +132,7 @@
                 for node in alive
             )
         taken = world.events('coordinator-took-over')[-1]
-        assert taken.text == 'Epoch 2 with 1 outstanding.'
+        assert taken.text == 'Epoch 2; outstanding leases: 1.'
 
     story(body)
 
