--- a/carawaystair/outlier/coordinator_role.py
+++ b/carawaystair/outlier/coordinator_role.py
@@ -162,24 +162,28 @@
         phases = self.coordinator.phases(self.lease_s(members), now)
         sizes = [len(phase.entry.upstream) for phase in phases]
         chunks = _chunks(phases, sizes) or [()]
-        service, whole = self.coordinator.service, len(chunks) == 1
+        service, complete = self.coordinator.service, len(chunks) == 1
         parts = [
-            messages.Mirror(service, self.epoch, whole, part)
+            messages.Mirror(service, self.epoch, complete, part)
             for part in chunks
         ]
         self.sender.send((standby.gossip,), parts)
 
     def _state_messages(
-        self, entries, full=False
+        self, entries, complete=False
     ) -> tuple[messages.State, ...]:
         chunks = _chunks(entries, [len(one.upstream) for one in entries])
         # A state in several datagrams can't tell which leases have ended.
-        full = full and len(chunks) <= 1
+        complete = complete and len(chunks) <= 1
         return tuple(
             messages.State(
-                self.coordinator.service, self.me.host, self.epoch, full, part
+                self.coordinator.service,
+                self.me.host,
+                self.epoch,
+                complete,
+                part,
             )
-            for part in chunks or ([()] if full else [])
+            for part in chunks or ([()] if complete else [])
         )
 
 
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -108,7 +108,7 @@
         if self.health.index.from_earlier_incarnation(
             attempt.upstream, attempt.started
         ):
-            # An earlier incarnation is no evidence for the current one.
+            # No evidence against the current incarnation.
             return
         if outcome == interfaces.SHED:
             factor = local_weights.OUTCOME_FACTORS[outcome]
@@ -167,8 +167,8 @@
 
     def tick(self, now: float) -> None:
         """Check attempts in flight and send the reports that are due."""
-        for overdue in self.in_flight.tick(now):
-            self._overdue(overdue, now)
+        for passed in self.in_flight.tick(now):
+            self._report_passed_bound(passed, now)
         if (
             self.local_path.tick(now)
             and now - self.path_reported_at >= PATH_EVENT_INTERVAL_S
@@ -184,19 +184,21 @@
         self.outboxes.remove_idle(now)
         self.detector_modes.clear()
 
-    def _overdue(self, overdue: in_flight.PassedBound, now: float) -> None:
-        pending = overdue.pending
+    def _report_passed_bound(
+        self, passed: in_flight.PassedBound, now: float
+    ) -> None:
+        pending = passed.pending
         if self.health.index.from_earlier_incarnation(
             pending.upstream, pending.started
         ):
             return
         outbox = self.outboxes.outbox(pending.service, now)
-        category = _overdue_category(pending, overdue.level)
-        before = _overdue_category(pending, overdue.reported_level)
+        category = _overdue_category(pending, passed.level)
+        before = _overdue_category(pending, passed.reported_level)
         if category in PATH_FAILURES:
             self.local_path.add(pending.upstream, True, now)
-        if overdue.level >= levels.LATE:
-            late = overdue.level == levels.LATE
+        if passed.level >= levels.LATE:
+            late = passed.level == levels.LATE
             factor = (
                 local_weights.LATE_FACTOR
                 if late
@@ -209,10 +211,10 @@
             pending.service
         ):
             return
-        if overdue.reported_level:
+        if passed.reported_level:
             outbox.add(pending.upstream, pending.customer_class, before, -1)
         outbox.add(pending.upstream, pending.customer_class, category, 1)
-        if overdue.level >= outbox.urgent_level:
+        if passed.level >= outbox.urgent_level:
             self._schedule_flush(outbox)
 
     def _react_locally(self, attempt, category, now) -> None:
@@ -232,13 +234,13 @@
 
     def _observe_locally(self, attempt, bad, now) -> None:
         service = attempt.service
-        own = self.health.local_ejections.get(service)
-        if own is None:
-            own = self.health.local_ejections[service] = (
+        ejections = self.health.local_ejections.get(service)
+        if ejections is None:
+            ejections = self.health.local_ejections[service] = (
                 local_ejections.LocalEjections(self.make_detector(service))
             )
         tuning = tunings.for_service(self.health.index.service(service))
-        if own.observe(attempt.upstream, bad, tuning, now):
+        if ejections.observe(attempt.upstream, bad, tuning, now):
             self.health.refresh(service)
             self.timeline.record(
                 'upstream-ejected',
--- a/carawaystair/outlier/evidence_pool.py
+++ b/carawaystair/outlier/evidence_pool.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.began = now
+        self.started_at = now
         self.scale = level_counts.DecayScale(now)
         self.total = level_counts.empty_table()
         self.tables: dict[str, array.array] = {}
@@ -107,7 +107,7 @@
             + level_counts.ATTEMPTS
         ]
         # A decayed sum covers less than its time constant at first.
-        age = max(now - self.began, 1.0)
+        age = max(now - self.started_at, 1.0)
         memory = level_counts.DECAY_S * -math.expm1(
             -age / level_counts.DECAY_S
         )
--- a/carawaystair/outlier/health.py
+++ b/carawaystair/outlier/health.py
@@ -11,7 +11,7 @@
 from carawaystair.outlier import node_leases
 from carawaystair.outlier import upstream_index
 
-NOTHING: frozenset[str] = frozenset()
+NONE_EJECTED: frozenset[str] = frozenset()
 # A request path that hasn't asked for a trial in this time offers no copies,
 # seconds.
 COPIES_S = 30.0
@@ -62,7 +62,7 @@
     def ejected(self, service: str) -> frozenset[str]:
         """Return ids that get no new work, after this node's own clamp."""
         if service not in self.effective:
-            return NOTHING
+            return NONE_EJECTED
         return self._effective(service).ejected
 
     def weight(self, upstream: str, customer: str = '') -> float:
--- a/carawaystair/outlier/node_leases.py
+++ b/carawaystair/outlier/node_leases.py
@@ -35,6 +35,7 @@
     """A node's leases for one service."""
 
     def __init__(self) -> None:
+        # Epoch and host of the coordinator that has precedence.
         self.newest_sender: tuple[int, str] = (0, '')
         self.updated_at = 0.0
         self.leases: dict[str, Lease] = {}
@@ -44,14 +45,14 @@
 
         :return: whether they were accepted; False for stale ones.
         """
-        newest_sender = (state.epoch, state.host)
+        sender = (state.epoch, state.host)
         stale = (
-            newest_sender < self.newest_sender
+            sender < self.newest_sender
             and now - self.updated_at < EPOCH_TIMEOUT_S
         )
         if stale:
             return False
-        self.newest_sender, self.updated_at = newest_sender, now
+        self.newest_sender, self.updated_at = sender, now
         if state.complete:
             kept = {entry.upstream for entry in state.entries}
             self.leases = {
--- a/carawaystair/outlier/recent_scores.py
+++ b/carawaystair/outlier/recent_scores.py
@@ -60,7 +60,7 @@
         return (self.total + PRIOR_ATTEMPTS) / (self.count + PRIOR_ATTEMPTS)
 
 
-NOTHING = DecayedScores()
+NO_SCORES = DecayedScores()
 
 
 class RecentScores:
@@ -80,12 +80,12 @@
         now: float,
     ) -> None:
         """Add attempts."""
-        old = self.by_upstream.get(upstream, NOTHING)
+        old = self.by_upstream.get(upstream, NO_SCORES)
         self.by_upstream[upstream] = old.with_added(count, score, failed, now)
 
     def get(self, upstream: str, now: float) -> DecayedScores:
         """Return the scores of an upstream."""
-        return self.by_upstream.get(upstream, NOTHING).decayed(now)
+        return self.by_upstream.get(upstream, NO_SCORES).decayed(now)
 
     def typical_score(self, upstream: str, now: float) -> float:
         """Return the typical score of an upstream's siblings, at least 1.0."""
@@ -103,9 +103,9 @@
     def _sort(self, now: float) -> None:
         self.sorted_at = now
         some = itertools.islice(self.by_upstream.items(), MAX_SORTED)
-        faded = ((name, scores.decayed(now)) for name, scores in some)
+        decayed = ((name, scores.decayed(now)) for name, scores in some)
         self.sorted_means = sorted(
             (scores.mean(), name)
-            for name, scores in faded
+            for name, scores in decayed
             if scores.count >= MIN_ATTEMPTS
         )
--- a/carawaystair/outlier/record_store.py
+++ b/carawaystair/outlier/record_store.py
@@ -77,21 +77,21 @@
             else {'', *self._limited_data_centres()}
         )
         return all(
-            self._spare(self._out(one) - {record.upstream}) >= cost
+            self._spare(self._out_of_service(one) - {record.upstream}) >= cost
             for one in data_centres
         )
 
     def assert_floor(self) -> None:
         """Assert that grants don't bring the capacity below the floor."""
         for data_centre in {'', *self._limited_data_centres()}:
-            out = self._out(data_centre)
-            spare = self._spare(out)
+            ejected = self._out_of_service(data_centre)
+            spare = self._spare(ejected)
             # Losses of hosts may bring capacity below the floor; nodes then
             # apply fewer ejections, see ``floor.clamp``.
             lost = self._spare(frozenset()) < 0
             detail = '%s %s %d' % (self.service, data_centre, spare)
             invariants.check(
-                invariants.FLOOR, not out or spare >= 0 or lost, detail
+                invariants.FLOOR, not ejected or spare >= 0 or lost, detail
             )
 
     def _limited_data_centres(self) -> set[str]:
@@ -101,7 +101,7 @@
             if record.scope.kind == scopes.DATA_CENTRE
         }
 
-    def _out(self, data_centre: str) -> frozenset[str]:
+    def _out_of_service(self, data_centre: str) -> frozenset[str]:
         return frozenset(
             record.upstream
             for record in self.records.values()
@@ -113,10 +113,10 @@
             )
         )
 
-    def _spare(self, out: typing.Container[str]) -> int:
+    def _spare(self, ejected: typing.Container[str]) -> int:
         return floor.measure(
             self.index.service(self.service),
             self.index.by_id(self.service).values(),
-            out,
+            ejected,
             self.index.usable,
         ).spare
--- a/carawaystair/outlier/report_pace.py
+++ b/carawaystair/outlier/report_pace.py
@@ -34,7 +34,7 @@
 
     def __init__(self, service: str, now: float) -> None:
         self.service = service
-        self.began = now
+        self.started_at = now
         self.updated_at = now
         self.version = 0
         self.bounds: dict[int, levels.Bounds] = {}
@@ -55,7 +55,7 @@
         :param rate: requests a second of the service.
         :param min_latency_s: see ``tuning.Tuning``.
         """
-        first = now - self.began < FIRST_PHASE_S
+        first = now - self.started_at < FIRST_PHASE_S
         if now - self.updated_at < (FIRST_INTERVAL_S if first else INTERVAL_S):
             return
         self.updated_at = now
--- a/carawaystair/outlier/reporting_nodes.py
+++ b/carawaystair/outlier/reporting_nodes.py
@@ -6,7 +6,7 @@
 # A node that has not reported for this time no longer counts, seconds.
 FORGET_S = 60.0
 # Cells of good answers that a coordinator accepts for one service, a second;
-# with more the nodes are told to report less often.
+# with more the nodes are set to report less often.
 CELLS_PER_S = 300.0
 MIN_INTERVAL_S = 1.0
 MAX_INTERVAL_S = 120.0
@@ -82,13 +82,13 @@
         """Return whether any node offers copies."""
         return any(one.offers_copies for one in self.by_host.values())
 
-    def believable(self, report_suspect: bool) -> bool:
+    def believable(self, path_suspected: bool) -> bool:
         """Return whether a node's failures are evidence against upstreams.
 
         A node that fails to reach most upstreams has a fault of its own,
         unless half of the nodes report the same.
         """
-        if not report_suspect:
+        if not path_suspected:
             return True
         suspects = sum(one.path_suspected for one in self.by_host.values())
         return 2 * suspects >= len(self.by_host) > 1
--- a/carawaystair/outlier/scope.py
+++ b/carawaystair/outlier/scope.py
@@ -20,14 +20,14 @@
 # The others are well served below this share of bad attempts.
 WELL_SERVED_SHARE = 0.2
 # That all bad attempts come from one group is no evidence of a limited scope
-# if it would happen by chance with this probability.
+# if it would happen by chance with at least this probability.
 CHANCE_LIMIT = 0.1
 # Bad attempts further apart than this belong to different episodes, seconds.
 EPISODE_S = 5.0
 MAX_EPISODE_S = 30.0
 # Groups counted separately; any further ones are counted as one.
 MAX_GROUPS = 64
-OTHER_REPORTERS = '*'
+OTHER_GROUPS = '*'
 
 
 class GroupAttempts(typing.NamedTuple):
@@ -70,11 +70,11 @@
     group: str = ''
 
 
-Share = typing.Callable[[str, str], float]
+UsualShare = typing.Callable[[str, str], float]
 
 
 class Episode:
-    """Attempts at one upstream since its first bad attempt.
+    """Attempts at one upstream since its first bad one or a trial began.
 
     :param now: monotonic time.
     """
@@ -99,7 +99,7 @@
         """Add attempts from one source."""
         for groups, group in zip(self.groups.values(), source):
             if group not in groups and len(groups) >= MAX_GROUPS:
-                group = OTHER_REPORTERS
+                group = OTHER_GROUPS
             seen = groups.get(group, GroupAttempts())
             groups[group] = GroupAttempts(seen.bad + bad, seen.good + good)
 
@@ -125,14 +125,14 @@
         """Return the bad attempts of one reporter."""
         return self.groups[REPORTER].get(reporter, GroupAttempts()).bad
 
-    def scope(self, enough: int, share: Share) -> Scope:
+    def scope(self, enough: int, usual_share: UsualShare) -> Scope:
         """Return the callers that the upstream fails.
 
         :param enough: good answers to others that show it works for them.
-        :param share: returns a group's usual share of all attempts.
+        :param usual_share: returns a group's usual share of all attempts.
         """
         candidates = (
-            _concentrated(kind, groups, enough, share)
+            _concentrated(kind, groups, enough, usual_share)
             for kind, groups in self.groups.items()
         )
         candidates = [scope for scope in candidates if scope is not None]
@@ -140,7 +140,7 @@
         return next(itertools.chain(named, candidates), Scope(EVERYBODY))
 
 
-def _concentrated(kind, groups, enough, share) -> Scope | None:
+def _concentrated(kind, groups, enough, usual_share) -> Scope | None:
     """Return the group that nearly all bad attempts come from, if any."""
     total = sum(seen.bad for seen in groups.values())
     group, top = max(groups.items(), key=lambda item: (item[1].bad, item[0]))
@@ -148,7 +148,7 @@
         return None
     good = sum(seen.good for seen in groups.values()) - top.good
     if good < enough:
-        chance = share(kind, group) ** total
+        chance = usual_share(kind, group) ** total
         return Scope(UNKNOWN, group) if good or chance < CHANCE_LIMIT else None
     rest = total - top.bad
     return (
--- a/carawaystair/outlier/service_outage.py
+++ b/carawaystair/outlier/service_outage.py
@@ -64,12 +64,14 @@
 
     def _failing_share(self, now: float) -> float:
         table = self.store.index.by_id(self.store.service)
-        out = {
+        out_of_service = {
             record.upstream
             for record in self.store.unhealthy()
             if record.out_of_service
         }
-        eligible = [one for one in table.values() if self._counted(one, out)]
+        eligible = [
+            one for one in table.values() if self._counted(one, out_of_service)
+        ]
         means = [self.pool.recent.get(one.id, now) for one in eligible]
         means = [mean for mean in means if mean.count >= MIN_ATTEMPTS]
         if len(means) < MIN_UPSTREAMS:
@@ -79,5 +81,9 @@
         )
         return bad / len(means)
 
-    def _counted(self, upstream: interfaces.Upstream, out: set) -> bool:
-        return upstream.id not in out and self.store.index.eligible(upstream)
+    def _counted(
+        self, upstream: interfaces.Upstream, out_of_service: set
+    ) -> bool:
+        return upstream.id not in out_of_service and self.store.index.eligible(
+            upstream
+        )
--- a/carawaystair/outlier/state_machine.py
+++ b/carawaystair/outlier/state_machine.py
@@ -58,7 +58,7 @@
             upstream_record.HEALTHY: self._step_healthy,
             upstream_record.SUSPECTED: self._step_suspected,
             upstream_record.EJECTED: self._step_ejected,
-            upstream_record.ON_TRIAL: self._step_tried,
+            upstream_record.ON_TRIAL: self._step_on_trial,
             upstream_record.RETURNING: self._step_returning,
         }
 
@@ -132,7 +132,7 @@
         record.set_state(upstream_record.ON_TRIAL, 0.0, now)
         self.store.mark_changed(record)
 
-    def _step_tried(self, record, evidence, tuning, now) -> None:
+    def _step_on_trial(self, record, evidence, tuning, now) -> None:
         if evidence >= tuning.suspect_nats:
             record.severity = evidence
             self._eject(record, tuning, 'It failed its trial.', now)
@@ -156,10 +156,10 @@
         """Suspect an upstream: hardly any work, and tests at once."""
         record.severity = evidence
         record.scope = scopes.Scope(scopes.EVERYBODY)
-        floor_allows = not self._common_cause_likely(
+        take_out = not self._common_cause_likely(
             record, now
         ) and self.store.floor_allows(record)
-        weight = 0.0 if floor_allows else upstream_record.REDUCED_WEIGHT
+        weight = 0.0 if take_out else upstream_record.REDUCED_WEIGHT
         record.tested_by_copies = self.reporters.any_copies()
         record.set_state(upstream_record.SUSPECTED, weight, now)
         record.suspected_at = now
