--- a/test/test_outlier_baseline.py
+++ b/test/test_outlier_baseline.py
@@ -1,4 +1,4 @@
-"""Tests of which latencies become the usual ones of a route."""
+"""Tests of the selection of latency samples for a route's usual latencies."""
 
 import itertools
 
@@ -19,7 +19,7 @@
 
 
 class Routing:
-    """A routing with one service, drained nowhere."""
+    """A routing with one service and no drains."""
 
     def service(self, _name):
         return manifest.Service()
@@ -29,7 +29,7 @@
 
 
 class Rig:
-    """A baseline over three upstreams and a clock of its own."""
+    """A baseline over three upstreams, with its own clock."""
 
     def __init__(self):
         upstreams = [
@@ -41,64 +41,62 @@
             's', upstream_index.UpstreamIndex(directory, lambda: routing)
         )
         self.routes = levels.RouteLatencies()
-        self.part = baseline.Baseline(self.store, self.routes)
+        self.baseline = baseline.Baseline(self.store, self.routes)
         self.now = 0.0
 
-    def answers(self, seconds, slow=()):
-        """Let each upstream answer five times a second."""
+    def add_answers(self, seconds, slow=()):
+        """Add five answers a second of each upstream."""
         for _tick, name in itertools.product(range(seconds * 5), NAMES):
             latency_s = SLOW_S if name in slow else QUICK_S
             sample = messages.Sample(
                 ROUTE, int(latency_s * 1e6), levels.short_id(name)
             )
-            self.part.add_samples([sample], self.now)
+            self.baseline.add_samples([sample], self.now)
             self.now += 0.2 / len(NAMES)
 
     def suspect(self, *names):
-        """Take upstreams for suspects."""
+        """Set upstreams to the suspected state."""
         for name in names:
             found = self.store.get_or_add(name, self.now)
             found.state = upstream_record.SUSPECTED
 
-    def late(self):
-        """Return from which latency on an answer is late, seconds."""
+    def late_bound(self):
+        """Return the bound for late answers, seconds."""
         return self.routes.bounds(MIN_LATENCY_S, self.now)[ROUTE].late
 
 
-def test_slow_suspect_does_not_raise_the_bounds_it_is_judged_by():
-    """One of three upstreams turns slow soon after the start.
+def test_slow_suspect_does_not_raise_its_own_bounds():
+    """Guards against a slow upstream that is suspected but never ejected.
 
-    Symptom: it is suspected and never ejected.  Sequence: a third of the
-    good answers are its own, the bounds follow them within seconds, and
-    then its answers count as usual.  Cause: samples of a suspect were taken
-    for the usual ones.
+    A third of the good answers are its own when one of three upstreams turns
+    slow; the bounds would follow them within seconds, and then its answers
+    would count as usual.
     """
 
     async def scenario():
         rig = Rig()
-        rig.answers(10)
-        before = rig.late()
+        rig.add_answers(10)
+        before = rig.late_bound()
         rig.suspect('u1')
-        rig.answers(20, slow=['u1'])
-        assert rig.late() == before
+        rig.add_answers(20, slow=['u1'])
+        assert rig.late_bound() == before
 
     fakes.run(scenario())
 
 
 def test_bounds_follow_a_service_that_is_slow_as_a_whole():
-    """The service itself got slower, for good.
+    """Guards against upstreams that stay suspected for ever.
 
-    Symptom: all its upstreams stay suspects for ever.  Sequence: a new
-    release is slower everywhere.  Cause: samples of suspects are dropped
-    although the suspects are most of the service.
+    A new release is slower everywhere.  Samples of suspects must not be
+    dropped when most of the service is suspected.
     """
 
     async def scenario():
         rig = Rig()
-        rig.answers(10)
+        rig.add_answers(10)
         rig.suspect(*NAMES)
-        rig.answers(60, slow=NAMES)
-        assert rig.late() > SLOW_S
+        rig.add_answers(60, slow=NAMES)
+        assert rig.late_bound() > SLOW_S
 
     fakes.run(scenario())
 
@@ -106,9 +104,11 @@
 def test_waiting_samples_are_bounded():
     async def scenario():
         rig = Rig()
-        rig.answers(10)
+        rig.add_answers(10)
         sample = messages.Sample(ROUTE, 20_000, 1)
-        rig.part.add_samples([sample] * (baseline.MAX_WAITING + 50), rig.now)
-        assert len(rig.part.waiting) == baseline.MAX_WAITING
+        rig.baseline.add_samples(
+            [sample] * (baseline.MAX_WAITING + 50), rig.now
+        )
+        assert len(rig.baseline.waiting) == baseline.MAX_WAITING
 
     fakes.run(scenario())
--- a/test/test_outlier_fleet.py
+++ b/test/test_outlier_fleet.py
@@ -12,11 +12,11 @@
 from test import fakes
 
 FAST = model.Policy('fast', 'fast')
-# Busy enough that a few virtual seconds show what is meant.
+# Busy enough to show effects within a few virtual seconds.
 SITE = model.Site('test', 8, 5, 9, 4, 15.0)
 
 
-def story(body, seed=1, site=SITE, policy=FAST, warm_s=8.0):
+def run_world(body, seed=1, site=SITE, policy=FAST, warm_s=8.0):
     """Run ``body(world)`` once a world has warmed up."""
 
     invariants.BROKEN.clear()
@@ -29,12 +29,12 @@
         await world.stop()
 
     fakes.run(_run())
-    # Handlers run in tasks of their own, where a raise would go unseen.
+    # Handlers run in tasks of their own, where an exception is not seen.
     assert not invariants.BROKEN
 
 
-def out(world):
-    """Return what each node ejects."""
+def ejected_by_node(world):
+    """Return the upstreams that each node ejects."""
     return [node.outlier.ejected(model.SERVICE) for node in world.frontends]
 
 
@@ -47,29 +47,28 @@
     )
 
 
-def kinds(world):
+def event_kinds(world):
     return {event.kind for event in world.events()}
 
 
-def test_hung_upstream_is_ejected_and_comes_back():
-    """An upstream accepts requests and never answers.
+def test_hung_upstream_is_ejected_and_returns():
+    """Guards against a hung upstream that goes unnoticed by every node.
 
-    Symptom: each node sees a failure now and then and goes on.  Sequence:
-    the upstream hangs for ten seconds.  Cause: no node alone has enough
-    evidence; only pooled it is enough.
+    An upstream accepts requests for ten seconds and never answers.  Each node
+    sees few failures; only the pooled evidence is enough.
     """
 
     async def body(world):
         world.servers[3].hung = True
         await asyncio.sleep(3)
-        assert all(ejected == {'u03'} for ejected in out(world))
+        assert all(ejected == {'u03'} for ejected in ejected_by_node(world))
         world.servers[3].hung = False
         world.servers[3].release()
         await asyncio.sleep(30)
-        assert not any(out(world))
-        assert 'upstream-returned' in kinds(world)
+        assert not any(ejected_by_node(world))
+        assert 'upstream-returned' in event_kinds(world)
 
-    story(body)
+    run_world(body)
 
 
 def test_floor_holds_when_most_upstreams_hang():
@@ -79,16 +78,18 @@
         for server in world.servers[:6]:
             server.hung = True
         await asyncio.sleep(6)
-        assert all(2 <= len(ejected) <= 4 for ejected in out(world))
+        assert all(
+            2 <= len(ejected) <= 4 for ejected in ejected_by_node(world)
+        )
 
-    story(body)
+    run_world(body)
 
 
-def test_all_upstreams_bad_stops_ejecting():
-    """What all upstreams depend on fails.
+def test_service_outage_suspends_ejections():
+    """Guards against the loss of half of the capacity in an outage.
 
-    Symptom: half of the capacity is gone and nothing is better.  Sequence:
-    all eight hang within a second.  Cause: each was judged alone.
+    A dependency of all eight upstreams fails and all hang within a second;
+    each must not be decided on alone.
     """
 
     async def body(world):
@@ -96,18 +97,17 @@
             server.hung = True
             await asyncio.sleep(0.1)
         await asyncio.sleep(6)
-        assert 'all-upstreams-bad' in kinds(world)
-        assert not any(out(world))
+        assert 'all-upstreams-bad' in event_kinds(world)
+        assert not any(ejected_by_node(world))
 
-    story(body)
+    run_world(body)
 
 
-def test_handover_leaves_no_gap():
-    """The coordinator vanishes while an upstream is ejected.
+def test_takeover_keeps_ejections():
+    """Guards against work for a gray upstream after a change of coordinator.
 
-    Symptom: the gray upstream gets work until it is found again.  Sequence:
-    ejection, the coordinator dies, the members notice after two seconds.
-    Cause: the successor did not know what was granted.
+    The coordinator dies after an ejection and the members notice after two
+    seconds; its successor must learn which leases are outstanding.
     """
 
     async def body(world):
@@ -131,23 +131,23 @@
                 node.outlier.ejected(model.SERVICE) == {'u03'}
                 for node in alive
             )
-        taken = world.events('coordinator-took-over')[-1]
-        assert taken.text == 'Epoch 2; outstanding leases: 1.'
+        takeover = world.events('coordinator-took-over')[-1]
+        assert takeover.text == 'Epoch 2; outstanding leases: 1.'
 
-    story(body)
+    run_world(body)
 
 
 def test_one_way_partition_of_one_node_ejects_nothing():
-    """One node's packets to one upstream vanish; answers would get through.
+    """Guards against the ejection of a healthy upstream for one path.
 
-    Symptom: a healthy upstream is taken from everybody.  Sequence: one node
-    reports nothing but timeouts.  Cause: a path was taken for an upstream.
+    One node's packets to one upstream are lost, answers would arrive, and the
+    node reports nothing but timeouts.
     """
 
     async def body(world):
         world.servers[3].deaf_to = frozenset({5})
         await asyncio.sleep(15)
-        assert 'upstream-ejected' not in kinds(world)
+        assert 'upstream-ejected' not in event_kinds(world)
         sent = collections.Counter(
             one.node
             for one in world.sent[len(world.sent) // 2 :]
@@ -156,7 +156,7 @@
         others = sum(sent.values()) - sent[5]
         assert sent[5] < others / 8 / 2
 
-    story(body)
+    run_world(body)
 
 
 def test_one_data_centre_cut_from_an_upstream_ejects_it_there_only():
@@ -164,40 +164,42 @@
         cut = {n for n in range(9) if n % 4 == 2}
         world.servers[3].deaf_to = frozenset(cut)
         await asyncio.sleep(6)
-        ejected = out(world)
+        ejected = ejected_by_node(world)
         assert {n for n in range(9) if 'u03' in ejected[n]} == cut
 
-    story(body)
+    run_world(body)
 
 
-def test_silent_connections_are_not_held_against_the_upstream():
-    """Something between lost track of all open connections to an upstream.
+def test_silent_connections_do_not_eject_the_upstream():
+    """Guards against the ejection of a healthy upstream for lost connections.
 
-    Symptom: a healthy upstream is ejected.  Sequence: open connections go
-    silent, each request waits, then works on a new connection.  Cause: an
-    overdue answer on an old connection counted like one on a new.
+    A middlebox has dropped all open connections to an upstream: each request
+    waits, then works on a new connection.  An overdue answer on an old
+    connection must not count like one on a new connection.
     """
 
     async def body(world):
         world.silent_server = 3
         world.silent_since = asyncio.get_running_loop().time()
         await asyncio.sleep(10)
-        assert 'upstream-ejected' not in kinds(world)
+        assert 'upstream-ejected' not in event_kinds(world)
 
-    story(body)
+    run_world(body)
 
 
 def test_two_coordinators_during_a_partition_keep_the_floor():
-    """Half of the nodes lose sight of the other half.
+    """Guards against ejections of two coordinators that add up.
 
-    Symptom: after the partition each side's ejections add up.  Sequence:
-    both sides elect a coordinator and eject two upstreams each; the
-    partition ends.  Cause: grants of two coordinators were not reconciled.
+    Half of the nodes lose sight of the other half, both sides elect a
+    coordinator and eject two upstreams each, then the partition ends.
     """
 
     async def body(world):
         half = world.frontends[:4], world.frontends[4:]
-        sides = [[node.outlier.members.me for node in part] for part in half]
+        sides = [
+            [node.outlier.members.me for node in side_nodes]
+            for side_nodes in half
+        ]
         names = [[member.gossip for member in side] for side in sides]
         world.network.cut(*names)
         for node in world.frontends:
@@ -214,7 +216,7 @@
             node.outlier.members.others = [m for m in everyone if m != me]
         for _check in range(30):
             await asyncio.sleep(0.2)
-            assert all(len(ejected) <= 4 for ejected in out(world))
+            assert all(len(ejected) <= 4 for ejected in ejected_by_node(world))
         leaders = [
             node
             for node in world.frontends
@@ -224,10 +226,10 @@
         ]
         assert len(leaders) == 1
 
-    story(body)
+    run_world(body)
 
 
-def test_cold_start_is_not_gray():
+def test_cold_start_is_not_ejected():
     """A restarted upstream is slow while it warms up."""
 
     async def body(world):
@@ -238,48 +240,49 @@
         await asyncio.sleep(8)
         server.factor = lambda request: 1.0
         await asyncio.sleep(8)
-        assert 'upstream-ejected' not in kinds(world)
+        assert 'upstream-ejected' not in event_kinds(world)
 
-    story(body)
+    run_world(body)
 
 
 @pytest.mark.parametrize('loss', [0.2])
-def test_lost_messages_delay_but_do_not_prevent(loss):
+def test_message_loss_does_not_prevent_ejection(loss):
     async def body(world):
         world.network.loss = loss
         world.network.double = 0.1
         world.servers[3].hung = True
         await asyncio.sleep(6)
-        assert all(ejected == {'u03'} for ejected in out(world))
+        assert all(ejected == {'u03'} for ejected in ejected_by_node(world))
 
-    story(body)
+    run_world(body)
 
 
-def test_lost_news_is_repaired_by_the_next_report():
-    """One node hears nothing while an upstream is ejected.
+def test_lost_state_is_repaired_by_the_next_report():
+    """Guards against a gray upstream in use until leases are renewed.
 
-    Symptom: it goes on using a gray upstream until leases are renewed.
-    Sequence: a cut of one second, just then the ejection.  Cause: nobody
-    compared what the node holds with what was granted.
+    One node is cut off for a second, just when an upstream is ejected; its
+    next report must show which leases it lacks.
     """
 
     async def body(world):
         chosen = leader(world)
         me = chosen.outlier.members.me.gossip
-        deaf = next(node for node in world.frontends if node is not chosen)
-        world.network.cut([me], [deaf.outlier.members.me.gossip], both=False)
+        cut_off = next(node for node in world.frontends if node is not chosen)
+        world.network.cut(
+            [me], [cut_off.outlier.members.me.gossip], both=False
+        )
         world.servers[3].hung = True
         await asyncio.sleep(1.5)
         assert 'u03' in chosen.outlier.ejected(model.SERVICE)
-        assert 'u03' not in deaf.outlier.ejected(model.SERVICE)
+        assert 'u03' not in cut_off.outlier.ejected(model.SERVICE)
         world.network.heal()
         await asyncio.sleep(1.2)
-        assert 'u03' in deaf.outlier.ejected(model.SERVICE)
+        assert 'u03' in cut_off.outlier.ejected(model.SERVICE)
 
-    story(body)
+    run_world(body)
 
 
-def test_shed_requests_are_not_gray():
+def test_shedding_upstream_is_not_suspected():
     """An upstream sheds load with 503 and Retry-After."""
 
     async def body(world):
@@ -296,6 +299,6 @@
                     )
                 )
                 await asyncio.sleep(0.02)
-        assert 'upstream-suspected' not in kinds(world)
+        assert 'upstream-suspected' not in event_kinds(world)
 
-    story(body)
+    run_world(body)
--- a/test/test_outlier_floor.py
+++ b/test/test_outlier_floor.py
@@ -19,7 +19,7 @@
     return True
 
 
-def test_half_of_the_pool_may_go_and_no_more():
+def test_at_most_half_of_the_pool_may_be_ejected():
     pool = [upstream(number) for number in range(8)]
     wanted = [one.id for one in pool]
     allowed = floor.clamp(manifest.Service(), pool, wanted, usable)
@@ -50,11 +50,10 @@
     strategies.randoms(),
 )
 def test_clamp_never_goes_below_the_floor(kinds, percent, slots, random):
-    """Capacity falls below the floor though each ejection was allowed.
+    """Guards against ejections that count unusable upstreams as capacity.
 
-    Symptom: callers queue although upstreams idle.  Sequence: some
-    upstreams drain or are cold while others are ejected.  Cause: draining
-    or cold upstreams were counted as capacity.
+    Some upstreams drain or are cold while others are ejected: each ejection
+    seems allowed, and callers queue for the remaining capacity.
     """
     pool = [upstream(n, k[0], k[1]) for n, k in enumerate(kinds)]
     cold = {one.id for one, kind in zip(pool, kinds) if kind[2]}
