--- a/carawaystair/outlier/leadership.py
+++ b/carawaystair/outlier/leadership.py
@@ -229,7 +229,10 @@
         role.epoch += 1
         role.coordinator.takeover_done = True
         held = role.coordinator.store.unhealthy()
-        text = 'Epoch %d; outstanding leases: %d.' % (role.epoch, len(held))
+        text = 'Epoch %d with %d lease(s) outstanding.' % (
+            role.epoch,
+            len(held),
+        )
         self.timeline.record('coordinator-took-over', text, service=service)
         reporters = role.coordinator.reporters.addresses()
         self.sender.send(reporters, role.full_state(self.placement.alive, now))
--- a/carawaystair/outlier/local_ejections.py
+++ b/carawaystair/outlier/local_ejections.py
@@ -31,10 +31,10 @@
         if self.detector.evidence(upstream, now) < tuning.eject_nats:
             return False
         self.detector.reset(upstream)
-        counts = self.counts.get(upstream, 0) + 1
-        self.counts[upstream] = counts
+        count = self.counts.get(upstream, 0) + 1
+        self.counts[upstream] = count
         self.until[upstream] = now + min(
-            FIRST_EJECTION_S * counts, MAX_EJECTION_S
+            FIRST_EJECTION_S * count, MAX_EJECTION_S
         )
         return True
 
--- a/carawaystair/outlier/reporting_nodes.py
+++ b/carawaystair/outlier/reporting_nodes.py
@@ -6,7 +6,7 @@
 # A node that has not reported for this time no longer counts, seconds.
 FORGET_S = 60.0
 # Cells of good answers that a coordinator accepts for one service, a second;
-# with more the nodes are set to report less often.
+# with more, their report interval is lengthened.
 CELLS_PER_S = 300.0
 MIN_INTERVAL_S = 1.0
 MAX_INTERVAL_S = 120.0
