--- a/carawaystair/outlier/baseline.py
+++ b/carawaystair/outlier/baseline.py
@@ -1,58 +1,63 @@
-"""Which latencies become the usual ones of a route.
+"""Selects the latency samples that define the usual latencies of a route.
 
-The bounds of a route are worked out from good answers.  When one of three
-upstreams turns slow, a third of those answers are its own; taken as they come
-they raise the bounds within seconds until its answers count as usual and it
-is never ejected.  So samples wait for a few seconds, longer than it takes to
-suspect an upstream, and those of a suspect are dropped then.
+The bounds of a route are computed from good answers.  When one of three
+upstreams turns slow, a third of those answers are its own; used as they come
+they raise the bounds within seconds until its answers count as usual and it is
+never ejected.  Samples are therefore held back for longer than it takes to
+suspect an upstream, and those of suspects are then dropped.
 """
 
 import collections
 import typing
 
-from carawaystair.outlier import ledger as ledgers
 from carawaystair.outlier import levels
 from carawaystair.outlier import messages
-from carawaystair.outlier import track as tracks
+from carawaystair.outlier import record_store
+from carawaystair.outlier import upstream_record
 
-# Samples wait so long once their route has bounds, seconds.
-WAIT_S = 5.0
-# More of them waiting are let go, the oldest first.
-MOST_WAITING = 2000
+# Samples are held back for this time once their route has bounds, seconds.
+SAMPLE_DELAY_S = 5.0
+# Samples held back; above this the oldest are dropped.
+MAX_WAITING = 2000
 
 
-class Waiting(typing.NamedTuple):
-    """One sample with the time at which it came."""
+class WaitingSample(typing.NamedTuple):
+    """One sample with the time of its arrival."""
 
-    since: float
+    received_at: float
     sample: messages.Sample
 
 
 class Baseline:
-    """Lets samples into the routes' latencies.
+    """Adds samples to the latencies of routes.
 
-    :param ledger: says which upstreams are suspects.
-    :param routes: takes the latencies.
+    :param store: tells which upstreams are suspected.
+    :param routes: the latencies to add to.
     """
 
-    def __init__(self, ledger: ledgers.Ledger, routes: levels.Routes) -> None:
-        self.ledger = ledger
+    def __init__(
+        self, store: record_store.RecordStore, routes: levels.RouteLatencies
+    ) -> None:
+        self.store = store
         self.routes = routes
-        self.waiting: collections.deque[Waiting] = collections.deque(
-            maxlen=MOST_WAITING
+        self.waiting: collections.deque[WaitingSample] = collections.deque(
+            maxlen=MAX_WAITING
         )
 
-    def take(
+    def add_samples(
         self, samples: typing.Iterable[messages.Sample], now: float
     ) -> None:
-        """Take the samples of one report, and let in what has waited."""
+        """Hold back new samples, and add those held back for long enough."""
         for sample in samples:
-            if self.routes.bounded(sample.route, now):
-                self.waiting.append(Waiting(now, sample))
+            if self.routes.has_bounds(sample.route, now):
+                self.waiting.append(WaitingSample(now, sample))
             else:
                 self._add(sample, now)
         suspects = None
-        while self.waiting and self.waiting[0].since <= now - WAIT_S:
+        while (
+            self.waiting
+            and self.waiting[0].received_at <= now - SAMPLE_DELAY_S
+        ):
             if suspects is None:
                 suspects = self._suspects()
             sample = self.waiting.popleft().sample
@@ -63,17 +68,19 @@
         self.routes.add(sample.route, sample.latency_us / 1e6, now)
 
     def _suspects(self) -> frozenset[int]:
-        """Return the suspects, unless they are most of the upstreams.
+        """Return the short ids of suspects, or none if they are the majority.
 
-        When most of them are slow the service is, and the bounds must
-        follow; otherwise they would stay suspects for ever.
+        When most upstreams are slow the service itself is, and the bounds must
+        follow; otherwise the upstreams would stay suspected for ever.
         """
-        known = self.ledger.known.table(self.ledger.service)
+        upstreams = self.store.index.by_id(self.store.service)
         suspects = [
-            track
-            for track in self.ledger.tracks.values()
-            if track.state != tracks.HEALTHY
+            record
+            for record in self.store.records.values()
+            if record.state != upstream_record.HEALTHY
         ]
-        if len(suspects) * 2 > len(known):
+        if len(suspects) * 2 > len(upstreams):
             return frozenset()
-        return frozenset(levels.short(track.upstream) for track in suspects)
+        return frozenset(
+            levels.short_id(record.upstream) for record in suspects
+        )
--- a/carawaystair/outlier/floor.py
+++ b/carawaystair/outlier/floor.py
@@ -1,4 +1,4 @@
-"""The capacity floor: how much ejections must leave."""
+"""The capacity floor: the slots that ejections must leave to a service."""
 
 import typing
 
@@ -6,17 +6,17 @@
 from carawaystair import manifest
 
 Upstreams = typing.Iterable[interfaces.Upstream]
-# Tells whether an upstream is capacity while it is not ejected: up, warmed,
+# Whether an upstream is capacity while it is not ejected: up, warmed up and
 # not draining.
-Able = typing.Callable[[interfaces.Upstream], bool]
+Usable = typing.Callable[[interfaces.Upstream], bool]
 
 
 class Capacity(typing.NamedTuple):
     """Slots of one service.
 
     :param known: slots of all its upstreams that are not gone.
-    :param healthy: slots of those that are able and not ejected.
-    :param bound: slots that ejections must leave.
+    :param healthy: slots of those that are usable and not ejected.
+    :param required_slots: slots that ejections must leave.
     """
 
     known: int
@@ -25,7 +25,7 @@
 
     @property
     def spare(self) -> int:
-        """Return the slots that may yet be ejected; negative below."""
+        """Return the slots that may still be ejected; negative when short."""
         return self.healthy - self.required_slots
 
 
@@ -42,15 +42,15 @@
     service: manifest.Service,
     upstreams: Upstreams,
     ejected: typing.Container[str],
-    able: Able,
+    usable: Usable,
 ) -> Capacity:
-    """Return the capacity that is left when ``ejected`` get no work."""
+    """Return the capacity that is left without the upstreams ``ejected``."""
     upstreams = tuple(upstreams)
     known = sum(upstream.slots for upstream in upstreams)
     healthy = sum(
         upstream.slots
         for upstream in upstreams
-        if upstream.id not in ejected and able(upstream)
+        if upstream.id not in ejected and usable(upstream)
     )
     return Capacity(known, healthy, required_slots(service, known))
 
@@ -59,17 +59,17 @@
     service: manifest.Service,
     upstreams: Upstreams,
     wanted: typing.Iterable[str],
-    able: Able,
+    usable: Usable,
 ) -> frozenset[str]:
     """Return the part of ``wanted`` that the floor allows.
 
     :param wanted: ids of upstreams, the ones to eject first at the front.
     :return: ids; ejecting them never brings the capacity below the floor.
-        While the capacity is below the floor without any ejection, as after
-        a loss of hosts, nothing is ejected at all.
+        While the capacity is below the floor without any ejection, as after a
+        loss of hosts, nothing is ejected at all.
     """
     by_id = {upstream.id: upstream for upstream in upstreams}
-    spare = measure(service, by_id.values(), (), able).spare
+    spare = measure(service, by_id.values(), (), usable).spare
     if spare < 0:
         return frozenset()
     allowed = set()
@@ -77,7 +77,7 @@
         upstream = by_id.get(name)
         if upstream is None or name in allowed:
             continue
-        cost = upstream.slots if able(upstream) else 0
+        cost = upstream.slots if usable(upstream) else 0
         if cost <= spare:
             spare -= cost
             allowed.add(name)
--- a/carawaystairplug/detector_siblings.py
+++ b/carawaystairplug/detector_siblings.py
@@ -2,14 +2,16 @@
 
 In each window the scores are tested by the generalised likelihood ratio for
 exponential scores with a mean above a bound: ``n (r - 1 - ln r)`` where r is
-the mean over the bound (the exponential form of Lorden's test, 1971).  It
-finds the size of the fault by itself: a hang within a few attempts, a mild
-slowdown within a longer window.  The longer the window, the larger the least
-mean that counts, since healthy siblings are never quite equal.
+the mean over the bound (the exponential form of Lorden's test, 1971).  The
+test estimates the size of the fault itself: a hang shows within a few
+attempts, a mild slowdown within a longer window.  The longer the window, the
+larger the least mean that counts, since healthy siblings are never quite
+equal.
 
 Good answers from before a fault dilute the first failures in every window, so
-a cumulative sum (CUSUM; Page, 1954) runs beside them, which forgets the good
-ones; alone it would be alarmed by every rare answer, hence the penalty.
+a cumulative sum (CUSUM; Page, 1954) is computed as well, which good answers
+bring back to zero.  On its own it would react to every rare answer, hence the
+penalty.
 """
 
 import math
@@ -22,12 +24,12 @@
 class Window(typing.NamedTuple):
     """One window.
 
-    :param memory_s: time after which an attempt counts for a third.
-    :param least: mean scores up to this are healthy.
+    :param decay_s: time constant of the decay, seconds.
+    :param min_mean: mean scores up to this are healthy.
     """
 
-    memory_s: float
-    least: float
+    decay_s: float
+    min_mean: float
 
 
 WINDOWS = (
@@ -38,67 +40,67 @@
 )
 
 
-# Taken off the cumulative sum, nats: one failure is then enough to suspect an
-# upstream where detection is fast, one slow answer is not.
+# Subtracted from the cumulative sum, nats: one failure is then enough to
+# suspect an upstream with fast detection, one slow answer is not.
 PENALTY = 1.2
-# The sum fades when nothing confirms it, seconds for a third.
-FADE_S = 30.0
-MOST = 60.0
+# Time constant of the decay of the cumulative sum, seconds.
+DECAY_S = 30.0
+MAX_NATS = 60.0
 
 
 class Tally:
-    """Attempts and scores of one upstream."""
+    """Decayed attempts and scores of one upstream."""
 
-    __slots__ = ('time', 'counts', 'sums', 'run')
+    __slots__ = ('time', 'counts', 'sums', 'cusum')
 
     def __init__(self, now: float) -> None:
         self.time = now
         self.counts = [0.0] * len(WINDOWS)
         self.sums = [0.0] * len(WINDOWS)
-        self.run = 0.0
+        self.cusum = 0.0
 
     def add(self, score: float, count: float, now: float) -> None:
         """Add attempts."""
-        gone = self.time - now
+        minus_age_s = self.time - now
         self.time = now
         for index, window in enumerate(WINDOWS):
-            fade = math.exp(gone / window.memory_s)
-            self.counts[index] = self.counts[index] * fade + count
-            self.sums[index] = self.sums[index] * fade + count * score
+            decay = math.exp(minus_age_s / window.decay_s)
+            self.counts[index] = self.counts[index] * decay + count
+            self.sums[index] = self.sums[index] * decay + count * score
 
         step = count * detectors.log_likelihood_ratio(score)
-        run = self.run * math.exp(gone / FADE_S) + step
-        self.run = min(max(run, 0.0), MOST)
+        cusum = self.cusum * math.exp(minus_age_s / DECAY_S) + step
+        self.cusum = min(max(cusum, 0.0), MAX_NATS)
 
     def evidence(self, now: float) -> float:
         """Return the greatest evidence of the sum and all windows."""
-        gone = self.time - now
+        minus_age_s = self.time - now
         return max(
-            self.run * math.exp(gone / FADE_S) - PENALTY,
-            *self._windows(gone),
+            self.cusum * math.exp(minus_age_s / DECAY_S) - PENALTY,
+            *self._windows(minus_age_s),
         )
 
-    def _windows(self, gone: float) -> typing.Iterator[float]:
+    def _windows(self, minus_age_s: float) -> typing.Iterator[float]:
         """Yield the evidence of each window.
 
-        :param gone: minus the seconds since the last attempt.
+        :param minus_age_s: minus the seconds since the last attempt.
         """
         return (
-            ratio_test(count, total, window.least)
-            * math.exp(gone / window.memory_s)
+            ratio_test(count, total, window.min_mean)
+            * math.exp(minus_age_s / window.decay_s)
             for count, total, window in zip(self.counts, self.sums, WINDOWS)
         )
 
 
-def ratio_test(count: float, total: float, least: float) -> float:
-    """Return the log likelihood ratio for a mean above ``least``.
+def ratio_test(count: float, total: float, min_mean: float) -> float:
+    """Return the log likelihood ratio for a mean above ``min_mean``.
 
     :param count: attempts.
     :param total: sum of their scores.
     """
-    if count <= 0.0 or total <= count * least:
+    if count <= 0.0 or total <= count * min_mean:
         return 0.0
-    ratio = total / count / least
+    ratio = total / count / min_mean
     return count * (ratio - 1.0 - math.log(ratio))
 
 
@@ -124,7 +126,7 @@
         tally = self.tallies.get(upstream)
         return 0.0 if tally is None else tally.evidence(now)
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Empty the windows."""
         self.tallies.pop(upstream, None)
 
@@ -135,7 +137,7 @@
 
 
 class Plugin(plugins.Plugin):
-    """Brings the detector ``siblings``."""
+    """Provides the detector ``siblings``."""
 
     name = 'detector-siblings'
 
