--- a/carawaystair/admission/controller.py
+++ b/carawaystair/admission/controller.py
@@ -1,4 +1,4 @@
-"""The part of a node that decides when requests start."""
+"""Admission control of a node: the gates of all services."""
 
 import asyncio
 import functools
@@ -7,7 +7,7 @@
 import expression
 import mode
 
-from carawaystair.admission import flows
+from carawaystair.admission import fair_queue
 from carawaystair.admission import gate as gates
 from carawaystair import codes
 from carawaystair import interfaces
@@ -16,25 +16,25 @@
 from carawaystair import routing as routing_module
 from carawaystair import timeline as timeline_module
 
-# How often limits follow ejections and a new configuration.
+# Interval at which limits follow ejections and the configuration, in seconds.
 TICK_S = 0.25
-# Idle customers that a gate remembers.
+# Customers above which a gate forgets the idle ones.
 MAX_IDLE_FLOWS = 256
 
 LOG = logs.get('admission')
 
 
 class Admission(mode.Service):
-    """Keeps ``interfaces.Admission`` for all services on this node.
+    """Implements ``interfaces.Admission`` for all services on this node.
 
     :param members: the processes believed alive.
     :param directory: the upstreams, with the slots that they announce.
-    :param health: tells which upstreams get no work.
+    :param health: tells which upstreams are ejected.
     :param routing: returns the configuration in force.
-    :param timeline: takes events.
+    :param timeline: records events.
     """
 
-    # Experiments put other policies here.
+    # Replaced by experiments that compare policies.
     gate_class = gates.Gate
 
     def __init__(
@@ -52,14 +52,14 @@
         self.health = health
         self.routing = routing
         self.timeline = timeline
-        self.current = routing()
+        self.current_routing = routing()
         self.gates: dict[str, gates.Gate] = {}
         directory.subscribe(self._upstream_changed)
 
     def try_admit(
         self, service: str, customer: str, deadline: float, bulk: bool
     ) -> gates.Permit | None:
-        """Take a free slot at once, see ``interfaces.Admission``."""
+        """Take a free slot if there is one, see ``interfaces.Admission``."""
         gate = self.gates.get(service) or self._gate(service)
         return gate.try_start(customer, deadline, bulk)
 
@@ -76,12 +76,12 @@
         return await gate.wait(customer, deadline, bulk)
 
     def retry_after(self, service: str) -> float:
-        """Return when to try again, see ``interfaces.Admission``."""
+        """Return the seconds to retry after, see ``interfaces.Admission``."""
         gate = self.gates.get(service) or self._gate(service)
         return gate.retry_after()
 
     def slots(self, service: str) -> int:
-        """Return the slots of a service that may take work."""
+        """Return the slots of a service at upstreams that take requests."""
         ejected = self.health.ejected(service)
         return sum(
             upstream.slots
@@ -90,59 +90,62 @@
         )
 
     async def on_stop(self) -> None:
-        """Give everyone who waits a final answer."""
+        """Refuse all waiting requests."""
         for gate in self.gates.values():
             gate.fail_all(codes.LEAVING)
 
     @mode.Service.task
     async def _follow(self) -> None:
-        """Follow ejections and the configuration."""
+        """Apply ejections and configuration changes periodically."""
         while not self.should_stop:
             await asyncio.sleep(TICK_S)
-            if self.routing() is not self.current:
-                self._configure()
+            if self.routing() is not self.current_routing:
+                self._apply_routing()
             for gate in self.gates.values():
-                self._set_share(gate)
-                self._forget(gate)
+                self._update_share(gate)
+                self._forget_idle_flows(gate)
 
     def _gate(self, service: str) -> gates.Gate:
-        """Make the gate of a service on its first request."""
+        """Create the gate of a service on its first request."""
         gate = self.gate_class(
             service,
             self._flow,
             self._service(service).queue,
-            functools.partial(self._event, service),
+            functools.partial(self._record_event, service),
         )
         self.gates[service] = gate
-        self._set_share(gate)
+        self._update_share(gate)
         return gate
 
-    def _event(self, service: str, kind: str, text: str) -> None:
+    def _record_event(self, service: str, kind: str, text: str) -> None:
         self.timeline.record(kind, text, service=service)
 
     def _service(self, name: str) -> manifests.Service:
-        return self.current.service(name) or manifests.Service()
+        return self.current_routing.service(name) or manifests.Service()
 
-    def _flow(self, customer: str) -> flows.Flow:
-        """Make the flow of a customer; unknown ones share a class."""
-        known = self.current.customer(customer)
-        if known is None:
-            other = self.current.customer(manifests.OTHER)
+    def _flow(self, customer: str) -> fair_queue.Flow:
+        """Create the flow of a customer; unknown customers share one."""
+        configured = self.current_routing.customer(customer)
+        if configured is None:
+            other = self.current_routing.customer(manifests.OTHER)
             weight = other.weight if other is not None else 1
-            return flows.Flow(manifests.OTHER, weight)
-        return flows.Flow(customer, known.weight, known.limit)
+            return fair_queue.Flow(manifests.OTHER, weight)
+        return fair_queue.Flow(customer, configured.weight, configured.limit)
 
-    def _configure(self) -> None:
-        """Take over a new configuration."""
-        self.current = self.routing()
+    def _apply_routing(self) -> None:
+        """Apply the configuration in force to all gates."""
+        self.current_routing = self.routing()
         for gate in self.gates.values():
             gate.queue_limit = self._service(gate.service).queue
             for flow in gate.flows.values():
-                fresh = self._flow(flow.customer)
-                flow.weight, flow.cap = fresh.weight, fresh.cap
-
-    def _set_share(self, gate: gates.Gate) -> None:
-        """Give a gate this node's static share of the slots."""
+                updated = self._flow(flow.customer)
+                flow.weight, flow.max_running = (
+                    updated.weight,
+                    updated.max_running,
+                )
+
+    def _update_share(self, gate: gates.Gate) -> None:
+        """Set the share of a gate: the service's slots, divided by nodes."""
         slots = self.slots(gate.service)
         share = slots / max(len(self.members.alive()), 1)
         share = max(share, 1.0) if slots else 0.0
@@ -152,10 +155,10 @@
     def _upstream_changed(self, upstream: interfaces.Upstream) -> None:
         gate = self.gates.get(upstream.service)
         if gate is not None:
-            self._set_share(gate)
+            self._update_share(gate)
 
-    def _forget(self, gate: gates.Gate) -> None:
-        """Forget idle customers when a gate knows too many."""
+    def _forget_idle_flows(self, gate: gates.Gate) -> None:
+        """Remove idle flows when a gate has too many."""
         if len(gate.flows) <= MAX_IDLE_FLOWS:
             return
         gate.flows = {
@@ -172,12 +175,12 @@
     health: interfaces.Health,
     routing: typing.Callable[[], routing_module.Routing],
 ) -> Admission:
-    """Return the admission part of a node.
+    """Return the admission control of a node.
 
     :param kernel: the kernel of this process.
     :param members: the processes believed alive.
     :param directory: the upstreams.
-    :param health: tells which upstreams get no work.
+    :param health: tells which upstreams are ejected.
     :param routing: returns the configuration in force.
     """
     return Admission(members, directory, health, routing, kernel.timeline)
--- a/carawaystair/outlier/health.py
+++ b/carawaystair/outlier/health.py
@@ -1,158 +1,159 @@
-"""What a node makes of upstreams' health, own and told."""
+"""A node's view of the health of upstreams: its own results and leases."""
 
 import random
 
 from carawaystair import clock
 from carawaystair import interfaces
-from carawaystair.outlier import held
-from carawaystair.outlier import known as knowns
-from carawaystair.outlier import local
+from carawaystair.outlier import effective_state
+from carawaystair.outlier import local_ejections
+from carawaystair.outlier import local_weights
 from carawaystair.outlier import messages
-from carawaystair.outlier import own as owns
-from carawaystair.outlier import view as views
+from carawaystair.outlier import node_leases
+from carawaystair.outlier import upstream_index
 
-NOTHING: frozenset[str] = frozenset()
-# A request path that did not ask for a trial for so long offers none.
+NONE_EJECTED: frozenset[str] = frozenset()
+# A request path that hasn't asked for a trial in this time offers no copies,
+# seconds.
 COPIES_S = 30.0
 
 
 class Health:
-    """Keeps ``interfaces.Health``.
+    """Implements ``interfaces.Health``.
 
     :param me: this process.
-    :param known: the upstreams.
+    :param index: the upstreams.
     :param rng: source of randomness.
     """
 
     def __init__(
         self,
         me: interfaces.Member,
-        known: knowns.Known,
+        index: upstream_index.UpstreamIndex,
         rng: random.Random,
     ) -> None:
         self.me = me
-        self.known = known
+        self.index = index
         self.rng = rng
-        self.weights = local.Weights()
-        self.holdings: dict[str, held.Holding] = {}
-        # Ejections of this node alone, for detectors that are not pooled.
-        self.owns: dict[str, owns.Own] = {}
-        self.views: dict[str, views.View] = {}
-        self.factors: dict[str, views.Factor] = {}
-        self.asked: dict[str, float] = {}
-        known.callbacks.append(self.renew)
-
-    def renew(self, upstream: interfaces.Upstream) -> None:
-        """Hold nothing against an upstream that has started again.
-
-        Its coordinator does so as well, as soon as it knows of that.
+        self.weights = local_weights.LocalWeights()
+        self.leases: dict[str, node_leases.NodeLeases] = {}
+        # Ejections by this node alone, for detectors that are not pooled.
+        self.local_ejections: dict[str, local_ejections.LocalEjections] = {}
+        self.effective: dict[str, effective_state.EffectiveState] = {}
+        self.factors: dict[str, effective_state.WeightFactor] = {}
+        self.trial_asked_at: dict[str, float] = {}
+        index.restart_callbacks.append(self.on_restart)
+
+    def on_restart(self, upstream: interfaces.Upstream) -> None:
+        """Drop weights, leases and ejections of a restarted upstream.
+
+        Its coordinator does the same once it learns of the restart.
         """
         name, service = upstream.id, upstream.service
-        self.weights.forget(name)
-        holding = self.holdings.get(service)
-        if holding is not None:
-            holding.leases.pop(name, None)
-        own = self.owns.get(service)
-        if own is not None:
-            own.renew(name)
-        if service in self.views:
+        self.weights.reset(name)
+        held = self.leases.get(service)
+        if held is not None:
+            held.leases.pop(name, None)
+        ejections = self.local_ejections.get(service)
+        if ejections is not None:
+            ejections.reset(name)
+        if service in self.effective:
             self.refresh(service)
 
     def ejected(self, service: str) -> frozenset[str]:
         """Return ids that get no new work, after this node's own clamp."""
-        if service not in self.views:
-            return NOTHING
-        return self._view(service).ejected
+        if service not in self.effective:
+            return NONE_EJECTED
+        return self._effective(service).ejected
 
     def weight(self, upstream: str, customer: str = '') -> float:
-        """Return a factor from 0.0 to 1.0 on the upstream's share."""
+        """Return a factor from 0.0 to 1.0 on the upstream's share of work."""
         now = clock.now()
         weight = self.weights.weight(upstream, now)
         factor = self.factors.get(upstream)
         if factor is not None:
-            weight *= factor.at(customer, now, self.rng)
-        ramp = self.known.ramp(upstream)
+            weight *= factor.draw(customer, now, self.rng)
+        ramp = self.index.warmup_share(upstream)
         if ramp < 1.0 and self.rng.random() >= ramp:
-            weight *= views.LEAST_WEIGHT
+            weight *= effective_state.MIN_WEIGHT
         return weight
 
     def trial(self, service: str) -> str | None:
-        """Return an upstream that wants a copy of the next request."""
-        self.asked[service] = clock.now()
-        if service not in self.views:
+        """Return an upstream to copy the next request to, or None."""
+        self.trial_asked_at[service] = clock.now()
+        if service not in self.effective:
             return None
-        return self._view(service).trial(self.rng)
+        return self._effective(service).trial(self.rng)
 
-    def copies(self, service: str, now: float) -> bool:
-        """Tell whether the request path sends copies as trials."""
-        return now - self.asked.get(service, -COPIES_S) < COPIES_S
+    def offers_copies(self, service: str, now: float) -> bool:
+        """Return whether the request path sends copies as trials."""
+        return now - self.trial_asked_at.get(service, -COPIES_S) < COPIES_S
 
     def accept(self, state: messages.State) -> bool:
-        """Take the word of a coordinator.
+        """Apply the entries of a coordinator.
 
-        :return: whether it was heeded.
+        :return: whether they were accepted; False for stale ones.
         """
         now = clock.now()
-        holding = self.holdings.get(state.service)
-        if holding is None:
-            holding = self.holdings[state.service] = held.Holding()
-        heeded = holding.accept(state, now)
-        if heeded:
+        held = self.leases.get(state.service)
+        if held is None:
+            held = self.leases[state.service] = node_leases.NodeLeases()
+        accepted = held.accept(state, now)
+        if accepted:
             self.refresh(state.service)
-        return heeded
+        return accepted
 
-    def lease(self, service: str, upstream: str) -> held.Lease | None:
-        """Return what is granted for an upstream, if anything."""
-        holding = self.holdings.get(service)
-        return None if holding is None else holding.leases.get(upstream)
+    def lease(self, service: str, upstream: str) -> node_leases.Lease | None:
+        """Return the lease of an upstream, if any."""
+        held = self.leases.get(service)
+        return None if held is None else held.leases.get(upstream)
 
-    def summary(self, service: str) -> tuple[int, int]:
-        """Return the epoch and the digest of what is held."""
-        holding = self.holdings.get(service)
-        if holding is None:
+    def epoch_and_digest(self, service: str) -> tuple[int, int]:
+        """Return the epoch and the digest of this node's leases."""
+        held = self.leases.get(service)
+        if held is None:
             return 0, 0
-        return holding.order[0], holding.digest()
+        return held.newest_sender[0], held.digest()
 
-    def outstanding(self, service: str) -> messages.Held:
-        """Return what is held, for a new coordinator."""
-        holding = self.holdings.get(service) or held.Holding()
-        phases = holding.phases(clock.now())
-        return messages.Held(service, holding.order[0], phases)
+    def outstanding_leases(self, service: str) -> messages.Held:
+        """Return this node's leases for a new coordinator."""
+        held = self.leases.get(service) or node_leases.NodeLeases()
+        phases = held.phases(clock.now())
+        return messages.Held(service, held.newest_sender[0], phases)
 
-    def refresh(self, service: str) -> views.View:
-        """Work out the view of a service again."""
+    def refresh(self, service: str) -> effective_state.EffectiveState:
+        """Compute the effective state of a service again."""
         now = clock.now()
-        holding = self.holdings.get(service)
-        if holding is not None:
-            holding.expire(now)
-        leases = {} if holding is None else holding.leases
-        own = self.owns.get(service)
-        mine = [] if own is None else own.ejected(now)
-        view = views.make(
-            service, self.known, self.me.data_centre, leases, mine, now
+        held = self.leases.get(service)
+        if held is not None:
+            held.expire(now)
+        leases = {} if held is None else held.leases
+        ejections = self.local_ejections.get(service)
+        ejected_here = [] if ejections is None else ejections.ejected(now)
+        effective = effective_state.compute(
+            service, self.index, self.me.data_centre, leases, ejected_here, now
         )
-        old = self.views.get(service)
+        old = self.effective.get(service)
         if old is not None:
             for name in old.factors:
                 self.factors.pop(name, None)
-        self.factors.update(view.factors)
-        self.views[service] = view
-        if not leases and not mine:
-            del self.views[service]
-        return view
+        self.factors.update(effective.factors)
+        self.effective[service] = effective
+        if not leases and not ejected_here:
+            del self.effective[service]
+        return effective
 
     def sweep(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove what has expired."""
         self.weights.sweep(now)
-        self.known.sweep(now)
-        for own in self.owns.values():
-            own.forget(now)
-        for service in list(self.views):
+        self.index.sweep(now)
+        for ejections in self.local_ejections.values():
+            ejections.remove_expired(now)
+        for service in list(self.effective):
             self.refresh(service)
 
-    def _view(self, service: str) -> views.View:
-        view = self.views[service]
-        fresh = view.version == self.known.version(service)
-        if fresh and clock.now() < view.until:
-            return view
+    def _effective(self, service: str) -> effective_state.EffectiveState:
+        effective = self.effective[service]
+        fresh = effective.version == self.index.version(service)
+        if fresh and clock.now() < effective.until:
+            return effective
         return self.refresh(service)
--- a/carawaystairplug/detector_sequential.py
+++ b/carawaystairplug/detector_sequential.py
@@ -1,8 +1,9 @@
-"""Detector: a cumulative sum on scores (CUSUM; Page, 1954).
+"""Detector: a cumulative sum of scores (CUSUM; Page, 1954).
 
-Each score moves a sum by its log likelihood ratio between a gray upstream
-and a healthy one; the sum never falls below zero.  It is the quickest test
-for one known size of fault, and it forgets nothing but by good answers.
+Each score changes a sum by its log likelihood ratio between an upstream with a
+gray failure and a healthy one; the sum never falls below zero.  This is the
+fastest test for one known size of fault.  Besides good answers, only a slow
+decay lowers the sum.
 """
 
 import math
@@ -11,9 +12,9 @@
 from carawaystair.outlier import detectors
 from carawaystair import plugins
 
-# Evidence that nothing confirms fades, seconds for a third.
-FADE_S = 20.0
-MOST = 60.0
+# Time constant of the decay of the sum, seconds.
+DECAY_S = 20.0
+MAX_NATS = 60.0
 
 
 class Sum(typing.NamedTuple):
@@ -34,22 +35,22 @@
     def observe(
         self, upstream: str, score: float, count: float, now: float
     ) -> None:
-        """Move the sum."""
+        """Add attempts to the sum."""
         step = count * detectors.log_likelihood_ratio(score)
-        value = min(self.evidence(upstream, now) + step, MOST)
+        value = min(self.evidence(upstream, now) + step, MAX_NATS)
         if value <= 0.0:
             self.sums.pop(upstream, None)
         else:
             self.sums[upstream] = Sum(value, now)
 
     def evidence(self, upstream: str, now: float) -> float:
-        """Return the sum, faded."""
-        held = self.sums.get(upstream)
-        if held is None:
+        """Return the sum, decayed."""
+        total = self.sums.get(upstream)
+        if total is None:
             return 0.0
-        return held.value * math.exp((held.time - now) / FADE_S)
+        return total.value * math.exp((total.time - now) / DECAY_S)
 
-    def forget(self, upstream: str) -> None:
+    def reset(self, upstream: str) -> None:
         """Set the sum to zero."""
         self.sums.pop(upstream, None)
 
@@ -60,7 +61,7 @@
 
 
 class Plugin(plugins.Plugin):
-    """Brings the detector ``sequential``."""
+    """Provides the detector ``sequential``."""
 
     name = 'detector-sequential'
 
--- a/test/test_gateway_repeats.py
+++ b/test/test_gateway_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on repeats where upstreams call other services."""
+"""Retry budgets where upstreams call other services."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 REQUESTS = 1200
 SPACING_S = 0.02
 SPARSE_S = 0.2
-# One request of so many makes a call; the others earn repeats as well.
+# One request in this number makes a call; the others raise the budget only.
 CALLING = 4
 ROUTES = (
     manifest.Route('/pay/', 'portal', idempotent=False),
@@ -26,9 +26,10 @@
 
 
 def arrivals_while_all_callers_fail():
-    """Return when each call arrived, with its id; reads call, then fail.
+    """Return the arrivals of nested calls, as pairs of time and id.
 
-    A call of a second run has the id of that of the first one.
+    Reads make a call and then fail.  A nested call of a second run has the
+    same id as that of the first one.
     """
     arrivals = []
     fleet_of = []
@@ -58,23 +59,23 @@
         scripts = [call_and_fail] * 6 + [note] * 2
         async with fleets.running(*scripts, **options) as fleet:
             fleet_of.append(fleet)
-            asked = []
+            requests = []
             for number in range(REQUESTS):
                 calls = number % CALLING == 0
                 path, method = (
                     ('/read/', 'GET') if calls else ('/pay/', 'POST')
                 )
                 one = fleet.ask(path, method, rng.randrange(8))
-                asked.append(asyncio.ensure_future(one))
+                requests.append(asyncio.ensure_future(one))
                 await asyncio.sleep(SPACING_S)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
 
     pipes.run(scenario())
     return arrivals
 
 
-def test_calls_of_repeated_runs_stay_within_the_bound():
-    """Guards against repeats of one service that flood the one it calls."""
+def test_nested_calls_of_retries_stay_within_the_budget():
+    """Guards against retries of one service that overload the one it calls."""
     arrivals = arrivals_while_all_callers_fail()
     seen = set()
     beyond = []
@@ -90,11 +91,13 @@
         assert extra <= RATIO * len(names) + SLACK
 
 
-def arrivals_of_many_callers(sooner):
-    """Return when each call arrived, with its id.  All of three services
-    call a fourth one, and all fail; halfway all nodes start again.
+def arrivals_of_many_callers(first_run_s):
+    """Return the arrivals of nested calls, as pairs of time and id.
 
-    :param sooner: seconds of the first life of the nodes.
+    All requests of three services call a fourth one, and all fail.  Then all
+    nodes restart and the same happens again.
+
+    :param first_run_s: duration before the restart, seconds.
     """
     callers = ('portal', 'shop', 'desk')
     arrivals = []
@@ -111,20 +114,20 @@
         arrivals.append((asyncio.get_running_loop().time(), name))
         await fleets.fail(upstream, seen, writer)
 
-    async def life(name, length_s, options):
+    async def run_fleet(name, length_s, options):
         scripts = [call_and_fail] * 6 + [note] * 2
         async with fleets.running(*scripts, **options) as fleet:
             fleet_of.append(fleet)
-            asked = []
+            requests = []
             for number in range(int(length_s / SPARSE_S)):
                 one = fleet.ask(
                     '/%s/' % callers[number % 3],
                     node=number % 8,
                     Caraway_Request_Id='%s%d' % (name, number),
                 )
-                asked.append(asyncio.ensure_future(one))
+                requests.append(asyncio.ensure_future(one))
                 await asyncio.sleep(SPARSE_S)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
 
     async def scenario():
         options = {
@@ -141,15 +144,15 @@
             'retry_ratio': RATIO,
             'retry_slack': LARGE_SLACK,
         }
-        await life('a', sooner, options)
-        await life('b', WINDOW_S, options)
+        await run_fleet('a', first_run_s, options)
+        await run_fleet('b', WINDOW_S, options)
 
     pipes.run(scenario())
     return arrivals
 
 
-def test_three_services_that_call_one_share_its_slack():
-    """Guards against a slack that is spent once by each calling service."""
+def test_services_that_call_the_same_one_share_its_slack():
+    """Guards against a slack that each calling service uses on its own."""
     arrivals = arrivals_of_many_callers(2 * WINDOW_S)
     seen = set()
     beyond = []
@@ -166,46 +169,47 @@
         assert extra <= RATIO * len(names) + LARGE_SLACK
 
 
-def repeats(fleet):
-    """Return how many repeats gateways counted, and how many upstreams got."""
+def retry_counts(fleet):
+    """Return the retries that gateways counted and that upstreams received."""
     budgets = [
-        n.service.executor.budgets.for_service('portal') for n in fleet.nodes
+        n.service.executor.retry_budgets.for_service('portal')
+        for n in fleet.nodes
     ]
     ids = [seen.headers['caraway-request-id'] for seen in fleet.runs]
     counted = sum(budget.total_retries for budget in budgets)
     return counted, len(ids) - len(set(ids))
 
 
-def refusals(fleet):
-    """Return why gateways refused requests."""
+def refusal_reasons(fleet):
+    """Return the reasons for which gateways refused requests."""
     lines = [json.loads(one) for n in fleet.nodes for one in n.lines.lines]
     return {one['reason'] for one in lines if one['event'] == 'declining'}
 
 
-def test_repeat_whose_calls_can_not_be_paid_leaves_the_slack_to_others():
-    """Guards against repeats that did not begin and used up the slack."""
+def test_retry_without_budget_for_its_nested_calls_leaves_the_slack():
+    """Guards against retries that did not start but used up the slack."""
 
     async def scenario():
         scripts = (fleets.fail, fleets.serve, fleets.serve)
         options = {'retry_ratio': 0.0, 'retry_slack': LARGE_SLACK}
         async with fleets.running(*scripts, **options) as fleet:
             for node in fleet.nodes:
-                payer = node.service.executor.nested_calls.payer
-                payer.record_refusal('other', clock.now())
-                payer.counts.record_run('portal')
+                budget = node.service.executor.nested_calls.budget
+                budget.record_refusal('other', clock.now())
+                budget.counts.record_run('portal')
                 for _call in range(LARGE_SLACK):
-                    payer.counts.record_call('portal', 'other')
+                    budget.counts.record_call('portal', 'other')
             for _time in range(6):
                 await fleet.ask('/read/a')
-            return refusals(fleet), repeats(fleet)
+            return refusal_reasons(fleet), retry_counts(fleet)
 
     reasons, counted = pipes.run(scenario())
     assert 'spent' in reasons
     assert counted == (0, 0)
 
 
-def test_repeat_that_finds_no_slot_leaves_the_slack_to_others():
-    """Guards against a slack that is used up by asking busy gateways."""
+def test_retry_that_finds_no_slot_leaves_the_slack():
+    """Guards against a slack that is used up by offers to busy gateways."""
 
     async def scenario():
         scripts = (fleets.fail, fleets.slow(1.5), fleets.slow(1.5))
@@ -215,13 +219,13 @@
             'slots': 1,
         }
         async with fleets.running(*scripts, **options) as fleet:
-            asked = []
+            requests = []
             for _time in range(20):
-                asked.append(asyncio.ensure_future(fleet.ask('/read/a')))
+                requests.append(asyncio.ensure_future(fleet.ask('/read/a')))
                 await asyncio.sleep(0.2)
-            await asyncio.gather(*asked)
-            return refusals(fleet), repeats(fleet)
+            await asyncio.gather(*requests)
+            return refusal_reasons(fleet), retry_counts(fleet)
 
-    reasons, (counted, got) = pipes.run(scenario())
+    reasons, (counted, received) = pipes.run(scenario())
     assert 'busy' in reasons
-    assert counted == got > 0
+    assert counted == received > 0
