--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -164,7 +164,7 @@
         name, queue = instance.name, instance.slots.queue
         why = 'started anew'
         if announcement is None:
-            why = 'left' if name in self.registry.left else 'silent'
+            why = 'left' if name in self.registry.departed else 'silent'
         event = decisions.LifeEnded(
             name,
             instance.announcement.service,
