--- a/carawaystair/ui/api.py
+++ b/carawaystair/ui/api.py
@@ -15,7 +15,7 @@
 DEFAULT_NODE = 'http://127.0.0.1:8081'
 
 # Failures after which nobody knows whether the request was carried out.
-NO_ANSWER = (codes.API_UNREACHABLE, codes.API_ANSWER_LOST)
+NO_ANSWER_CODES = (codes.API_UNREACHABLE, codes.API_ANSWER_LOST)
 
 
 def with_api(made: command.Command) -> command.Command:
@@ -101,7 +101,7 @@
     return asyncio.run(_all())
 
 
-def shown(
+def print_reply(
     options: argparse.Namespace,
     reply: client.Reply,
     show: typing.Callable[[typing.Any], None],
@@ -111,7 +111,7 @@
     :param show: prints it for a person, when ``--json`` is not given.
     """
     if reply.is_error():
-        return refused(reply.error)
+        return print_refusal(reply.error)
     if options.json:
         output.json(reply.ok)
     else:
@@ -119,10 +119,10 @@
     return command.EXIT_OK
 
 
-def refused(refusal: client.Refusal) -> int:
+def print_refusal(refusal: client.Refusal) -> int:
     """Print a refusal and return the exit code for it."""
     output.failure(refusal.failure, refusal.mistakes)
-    if refusal.failure.code in NO_ANSWER:
+    if refusal.failure.code in NO_ANSWER_CODES:
         return command.EXIT_UNREACHABLE
     if refusal.mistakes:
         return command.EXIT_INVALID
--- a/carawaystair/ui/client.py
+++ b/carawaystair/ui/client.py
@@ -13,7 +13,7 @@
 from carawaystair import shape
 
 TIMEOUT_S = 30.0
-MAX_ANSWER = 256 * 1024 * 1024
+MAX_ANSWER_BYTES = 256 * 1024 * 1024
 
 
 class Refusal(typing.NamedTuple):
--- a/carawaystair/ui/command.py
+++ b/carawaystair/ui/command.py
@@ -29,7 +29,7 @@
     Plug-ins return these from ``Plugin.commands()``.
 
     :param name: the word that calls it.
-    :param text: one line for the list of commands.
+    :param summary: one line for the list of commands.
     :param run: takes the parsed options and returns an exit code.
     :param examples: whole command lines, shown by ``--help``.
     """
@@ -37,12 +37,12 @@
     def __init__(
         self,
         name: str,
-        text: str,
+        summary: str,
         run: Run,
         examples: typing.Sequence[str] = (),
     ) -> None:
         self.name = name
-        self.text = text
+        self.summary = summary
         self.run = run
         self.examples = tuple(examples)
         self.parser = argparse.ArgumentParser(add_help=False)
--- a/carawaystair/ui/main.py
+++ b/carawaystair/ui/main.py
@@ -28,8 +28,8 @@
     for each in sorted(commands, key=lambda each: each.name):
         sub = subparsers.add_parser(
             each.name,
-            help=each.text,
-            description=each.text,
+            help=each.summary,
+            description=each.summary,
             epilog=each.epilog(),
             parents=[each.parser],
             formatter_class=argparse.RawDescriptionHelpFormatter,
--- a/carawaystair/ui/timelinepage.py
+++ b/carawaystair/ui/timelinepage.py
@@ -9,10 +9,10 @@
 
 from carawaystair import timeline
 
-LANE_WIDTH = 26
-ROW_HEIGHT = 22
-RADIUS = 5
-MARGIN = 14
+LANE_WIDTH_PX = 26
+ROW_HEIGHT_PX = 22
+DOT_RADIUS_PX = 5
+MARGIN_PX = 14
 
 # Colours by what an event means for an operator; others stay gray.
 BAD = '#c0392b'
@@ -75,7 +75,7 @@
     return ''.join(
         (
             HEAD % about,
-            _drawing(events, lanes),
+            _svg(events, lanes),
             '<table><tbody>\n',
             *map(_row, events),
             '</tbody></table>\n',
@@ -84,9 +84,9 @@
     )
 
 
-def _drawing(events, lanes: dict[str, int]) -> str:
-    height = len(events) * ROW_HEIGHT
-    width = MARGIN * 2 + max(len(lanes) - 1, 0) * LANE_WIDTH
+def _svg(events, lanes: dict[str, int]) -> str:
+    height = len(events) * ROW_HEIGHT_PX
+    width = MARGIN_PX * 2 + max(len(lanes) - 1, 0) * LANE_WIDTH_PX
     lines = (
         '<line x1="{0}" x2="{0}" y1="0" y2="{1}" stroke="#d5d8dc">'
         '<title>{2}</title></line>\n'.format(
@@ -99,8 +99,8 @@
         '</circle>\n'
         % (
             _x(lanes[event.host]),
-            index * ROW_HEIGHT + ROW_HEIGHT // 2,
-            RADIUS,
+            index * ROW_HEIGHT_PX + ROW_HEIGHT_PX // 2,
+            DOT_RADIUS_PX,
             COLOURS.get(event.kind, NEUTRAL),
             html.escape(event.host),
             html.escape(event.kind),
@@ -116,7 +116,7 @@
 
 
 def _x(place: int) -> int:
-    return MARGIN + place * LANE_WIDTH
+    return MARGIN_PX + place * LANE_WIDTH_PX
 
 
 def _row(event: timeline.Event) -> str:
--- a/carawaystairplug/commands_changes.py
+++ b/carawaystairplug/commands_changes.py
@@ -118,7 +118,7 @@
         return command.EXIT_REFUSED
     parent = _parent(options)
     if parent.is_error():
-        return api.refused(parent.error)
+        return api.print_refusal(parent.error)
     reply = _change(
         options,
         '/v1/manifests',
@@ -127,7 +127,7 @@
         params={'dry_run': '1'} if options.dry_run else None,
     )
     if reply.is_error():
-        return api.refused(reply.error)
+        return api.print_refusal(reply.error)
     _print_submitted(options, reply.ok)
     return command.EXIT_OK
 
@@ -184,14 +184,14 @@
     """Put the content of an earlier version in force again."""
     parent = _parent(options)
     if parent.is_error():
-        return api.refused(parent.error)
+        return api.print_refusal(parent.error)
     reply = _change(
         options,
         '/v1/manifests/rollback',
         output.encode({'to': options.version}),
         headers={PARENT_HEADER: parent.ok},
     )
-    return api.shown(options, reply, _print_accepted)
+    return api.print_reply(options, reply, _print_accepted)
 
 
 # submission
@@ -213,7 +213,7 @@
     """Show what became of a submission."""
     path = '/v1/submissions/%s' % urllib.parse.quote(options.id, safe='')
     reply = api.ask(options, 'GET', path)
-    return api.shown(options, reply, _print_accepted)
+    return api.print_reply(options, reply, _print_accepted)
 
 
 # drain
@@ -246,7 +246,7 @@
     }
     reply = _change(options, '/v1/drains', output.encode(body))
     if reply.is_error():
-        return api.refused(reply.error)
+        return api.print_refusal(reply.error)
     _print_drained(options, reply.ok)
     return command.EXIT_OK
 
--- a/carawaystairplug/commands_members.py
+++ b/carawaystairplug/commands_members.py
@@ -41,7 +41,7 @@
     """Show the control group, or add, promote or remove one host."""
     if options.action is None:
         reply = api.ask(options, 'GET', '/v1/status')
-        return api.shown(options, reply, _show_status)
+        return api.print_reply(options, reply, _show_status)
     if options.host is None:
         output.note('carawaystair members: names no host')
         return command.EXIT_USAGE
@@ -51,7 +51,7 @@
         'peer': options.peer,
     }
     reply = api.ask(options, 'POST', '/v1/members', body=output.encode(body))
-    return api.shown(options, reply, _show)
+    return api.print_reply(options, reply, _show)
 
 
 def _show(group: dict) -> None:
--- a/carawaystairplug/commands_node.py
+++ b/carawaystairplug/commands_node.py
@@ -64,7 +64,7 @@
     told = api.ask_nodes(bases, '/v1/status')[0]
     for reply in (listed, told):
         if reply.is_error():
-            return api.refused(reply.error)
+            return api.print_refusal(reply.error)
     ejected = set(
         itertools.chain.from_iterable(
             service['ejected'] for service in told.ok['services']
@@ -124,9 +124,9 @@
     if options.clear:
         path = '/v1/suspects/%s' % urllib.parse.quote(options.clear, safe='')
         asking = client.Client(base).ask('DELETE', path)
-        return api.shown(options, asyncio.run(asking), _print_cleared)
+        return api.print_reply(options, asyncio.run(asking), _print_cleared)
     listed = api.ask_nodes([base], '/v1/suspects')[0]
-    return api.shown(options, listed, _print_suspects)
+    return api.print_reply(options, listed, _print_suspects)
 
 
 def _print_cleared(told: dict) -> None:
@@ -187,7 +187,7 @@
     """Print the merged events; with ``--follow`` until interrupted."""
     sources = _sources(options)
     if sources.is_error():
-        return api.refused(sources.error)
+        return api.print_refusal(sources.error)
     marks = [options.since] * len(sources.ok)
     if options.html:
         return _write_page(options, sources.ok, marks)
@@ -230,7 +230,7 @@
         pathlib.Path(options.html).write_text(timelinepage.page(events))
     except OSError as error:
         failure = codes.Failure(codes.OUTPUT_FAILED, str(error))
-        return api.refused(client.Refusal(failure))
+        return api.print_refusal(client.Refusal(failure))
     print('%d events are in %s' % (len(events), options.html))
     return exit_code
 
@@ -252,7 +252,7 @@
     reads = asyncio.run(_read_every(sources, marks))
     for index, read in enumerate(reads):
         if read.refusal is not None:
-            exit_code = api.refused(read.refusal)
+            exit_code = api.print_refusal(read.refusal)
         marks[index] = max([marks[index], *(e.time for e in read.events)])
     # A process that holds both roles answers at both of its addresses.
     merged = dict.fromkeys(timelines.merge(*(read.events for read in reads)))
--- a/carawaystairplug/commands_watch.py
+++ b/carawaystairplug/commands_watch.py
@@ -57,7 +57,7 @@
     if options.node:
         return _node_status(options)
     reply = api.ask(options, 'GET', '/v1/status')
-    return api.shown(options, reply, _print_status)
+    return api.print_reply(options, reply, _print_status)
 
 
 def _print_status(fleet: dict) -> None:
@@ -102,7 +102,7 @@
         for each in good:
             _print_node(each)
     refusals = [reply.error for reply in replies if reply.is_error()]
-    return max(map(api.refused, refusals), default=command.EXIT_OK)
+    return max(map(api.print_refusal, refusals), default=command.EXIT_OK)
 
 
 def _print_node(node: dict) -> None:
@@ -141,7 +141,7 @@
 def current(options: argparse.Namespace) -> int:
     """Print the manifest in force; with ``--json`` its version, too."""
     reply = api.ask(options, 'GET', '/v1/manifests/current')
-    return api.shown(options, reply, _print_current)
+    return api.print_reply(options, reply, _print_current)
 
 
 def _print_current(value: dict) -> None:
@@ -161,7 +161,7 @@
     def _run(options: argparse.Namespace) -> int:
         params = {'limit': str(options.limit)}
         reply = api.ask(options, 'GET', path, params=params)
-        return api.shown(options, reply, _show)
+        return api.print_reply(options, reply, _show)
 
     def _show(entries: list) -> None:
         rows = [
