--- a/carawaystair/ui/__init__.py
+++ b/carawaystair/ui/__init__.py
@@ -1,1 +1,1 @@
-"""The command line tool ``carawaystair``; it speaks only public HTTP."""
+"""The command line tool ``carawaystair``, a client of the HTTP APIs."""
--- a/carawaystair/ui/api.py
+++ b/carawaystair/ui/api.py
@@ -1,4 +1,4 @@
-"""What the subcommands that ask an HTTP API share."""
+"""Options, requests and output shared by subcommands that use an HTTP API."""
 
 import argparse
 import asyncio
@@ -14,12 +14,12 @@
 DEFAULT_API = 'http://127.0.0.1:7580'
 DEFAULT_NODE = 'http://127.0.0.1:8081'
 
-# Failures after which nobody knows whether the request was carried out.
+# Codes of failures without a response: the request may have been carried out.
 NO_ANSWER_CODES = (codes.API_UNREACHABLE, codes.API_ANSWER_LOST)
 
 
 def with_api(made: command.Command) -> command.Command:
-    """Add the options of the administration API."""
+    """Add the options that select the administration API."""
     made.add(
         '--api',
         default=DEFAULT_API,
@@ -30,7 +30,7 @@
 
 
 def with_token(made: command.Command) -> command.Command:
-    """Add the options that prove and check who is who."""
+    """Add the options for the bearer token and the CA certificate."""
     made.add(
         '--token-file',
         metavar='FILE',
@@ -39,25 +39,25 @@
     made.add(
         '--ca-file',
         metavar='FILE',
-        help='certificate that signed the API, PEM, unless the system'
-        ' knows it',
+        help="PEM file of the CA that signed the API's certificate"
+        ' (default: the CAs that the system trusts)',
     )
     return made
 
 
 def with_nodes(made: command.Command) -> command.Command:
-    """Add the option that names nodes."""
+    """Add the option that selects nodes."""
     return made.add(
         '--node',
         action='append',
         metavar='URL',
-        help='local API of a node, may be repeated (default: %s)'
+        help='local API of a node; may be repeated (default: %s)'
         % DEFAULT_NODE,
     )
 
 
 def connect(options: argparse.Namespace) -> expression.Result:
-    """Return a client of the administration API that options name."""
+    """Return a client of the administration API selected by the options."""
     token = client.token(options.token_file)
     trust = client.trust(options.ca_file)
     if trust.is_error():
@@ -68,16 +68,16 @@
 
 
 def ask(
-    options: argparse.Namespace, method: str, path: str, **details
+    options: argparse.Namespace, method: str, path: str, **arguments
 ) -> client.Reply:
-    """Ask the administration API one thing.
+    """Send one request to the administration API.
 
-    :param details: as ``Client.ask`` takes them.
+    :param arguments: further arguments of ``Client.ask``.
     """
     connected = connect(options)
     if connected.is_error():
         return connected
-    return asyncio.run(connected.ok.ask(method, path, **details))
+    return asyncio.run(connected.ok.ask(method, path, **arguments))
 
 
 def ask_nodes(
@@ -85,20 +85,21 @@
     path: str,
     params: typing.Mapping[str, str] | None = None,
 ) -> list[client.Reply]:
-    """Ask several nodes the same at once.
+    """Send the same GET request to several nodes concurrently.
 
-    :return: their answers in the order of ``bases``.
+    :param bases: URLs of local APIs, None or empty for the default node.
+    :return: the replies in the order of ``bases``.
     """
-    chosen = bases or [DEFAULT_NODE]
+    urls = bases or [DEFAULT_NODE]
 
-    async def _all() -> list:
-        questions = [
+    async def _gather() -> list:
+        requests = [
             client.Client(base).ask('GET', path, params=params)
-            for base in chosen
+            for base in urls
         ]
-        return await asyncio.gather(*questions)
+        return await asyncio.gather(*requests)
 
-    return asyncio.run(_all())
+    return asyncio.run(_gather())
 
 
 def print_reply(
@@ -106,9 +107,9 @@
     reply: client.Reply,
     show: typing.Callable[[typing.Any], None],
 ) -> int:
-    """Print a reply, or why there is none; return the exit code.
+    """Print a reply or its refusal; return the exit code.
 
-    :param show: prints it for a person, when ``--json`` is not given.
+    :param show: prints the value as text when ``--json`` is not given.
     """
     if reply.is_error():
         return print_refusal(reply.error)
--- a/carawaystair/ui/client.py
+++ b/carawaystair/ui/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of the CLI."""
+"""HTTP client of the administration API and of the local API of nodes."""
 
 import asyncio
 import pathlib
@@ -17,10 +17,10 @@
 
 
 class Refusal(typing.NamedTuple):
-    """Why a request brought no result.
+    """The reason why a request failed.
 
-    :param failure: the numbered failure.
-    :param mistakes: mistakes in what was sent, with their paths.
+    :param failure: result code and detail.
+    :param mistakes: mistakes in the submitted document, with their paths.
     """
 
     failure: codes.Failure
@@ -41,13 +41,13 @@
 
 
 class Client:
-    """Asks one HTTP API of the fleet.
+    """Sends requests to one HTTP API of the fleet.
 
-    :param base: such as ``http://127.0.0.1:7580``.
-    :param token: bearer token, or empty.
-    :param timeout_s: of one whole request.
-    :param trust: certificates that may sign the API's; None for those that
-        the system knows.
+    :param base: URL of the API, such as ``http://127.0.0.1:7580``.
+    :param token: bearer token, empty for none.
+    :param timeout_s: limit for a whole request, in seconds.
+    :param trust: TLS context with the trusted CAs; None for the CAs that
+        the system trusts.
     """
 
     def __init__(
@@ -74,48 +74,50 @@
     ) -> Reply:
         """Send one request.
 
-        :param body: JSON, already encoded.
-        :return: the decoded answer, or why there is none.
+        :param body: encoded JSON.
+        :return: the decoded response, or the refusal.
         """
         try:
             return await self._ask(method, path, body, headers, params)
         except aiohttp.ClientConnectorError as error:
             return refuse(codes.API_UNREACHABLE, str(error))
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError) as error:
-            why = '%s: %s' % (self.base, error or 'timed out')
-            return refuse(codes.API_ANSWER_LOST, why)
+            detail = '%s: %s' % (self.base, error or 'timed out')
+            return refuse(codes.API_ANSWER_LOST, detail)
         except ValueError as error:
             return refuse(codes.API_UNREACHABLE, str(error))
 
     async def _ask(self, method, path, body, headers, params) -> Reply:
-        own = self.headers | dict(headers or {})
+        all_headers = self.headers | dict(headers or {})
         if body is not None:
-            own['Content-Type'] = 'application/json'
+            all_headers['Content-Type'] = 'application/json'
         async with aiohttp.ClientSession(timeout=self.timeout) as session:
             async with session.request(
                 method,
                 self.base + path,
                 data=body,
-                headers=own,
+                headers=all_headers,
                 params=params,
                 ssl=self.trust,
-            ) as answer:
-                data = await answer.read()
-                return _decode(answer.status, data)
+            ) as response:
+                data = await response.read()
+                return _decode(response.status, data)
 
 
 def _decode(status: int, data: bytes) -> Reply:
     try:
         value = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return refuse(codes.API_ANSWER_ODD, 'status %d, no JSON' % status)
+        return refuse(
+            codes.API_ANSWER_ODD, 'status %d, body is not JSON' % status
+        )
     if status < 400:
         return expression.Ok(value)
     return _refusal(status, value)
 
 
 def _refusal(status: int, value) -> expression.Result:
-    """Read the numbered refusal of an API."""
+    """Decode the body of an error response: code, detail and mistakes."""
     if not isinstance(value, dict):
         return refuse(codes.API_ANSWER_ODD, 'status %d' % status)
     number = str(value.get('code', '')).removeprefix('CS-')
@@ -133,7 +135,10 @@
 def trust(
     path: str | None,
 ) -> expression.Result[ssl.SSLContext | None, Refusal]:
-    """Read the certificate that may sign the API's."""
+    """Return a TLS context that trusts the CA certificates of a PEM file.
+
+    :param path: None for the CAs that the system trusts.
+    """
     if path is None:
         return expression.Ok(None)
     try:
@@ -145,7 +150,9 @@
 def token(path: str | None) -> expression.Result[str, Refusal]:
     """Read a bearer token from a file.
 
-    A token on the command line would show in the list of processes.
+    A token on the command line would be visible in the process list.
+
+    :param path: None for no token; the result is then empty.
     """
     if path is None:
         return expression.Ok('')
--- a/carawaystair/ui/command.py
+++ b/carawaystair/ui/command.py
@@ -1,4 +1,4 @@
-"""What a subcommand of the CLI is, and the exit codes that they share."""
+"""Subcommands of the CLI and their exit codes."""
 
 import argparse
 import typing
@@ -16,7 +16,7 @@
     EXIT_REFUSED: 'refused or failed; a numbered code says why',
     EXIT_USAGE: 'the command line is wrong',
     EXIT_INVALID: 'a document has mistakes; each is listed with its path',
-    EXIT_UNREACHABLE: 'no whole answer came; the code says what is known',
+    EXIT_UNREACHABLE: 'no complete response was received; the code says why',
     EXIT_INTERRUPTED: 'interrupted from the keyboard',
 }
 
@@ -24,14 +24,14 @@
 
 
 class Command:
-    """One subcommand: a parser and the function that does the work.
+    """One subcommand: its parser and the function that runs it.
 
     Plug-ins return these from ``Plugin.commands()``.
 
-    :param name: the word that calls it.
+    :param name: the name on the command line.
     :param summary: one line for the list of commands.
     :param run: takes the parsed options and returns an exit code.
-    :param examples: whole command lines, shown by ``--help``.
+    :param examples: complete command lines, shown by ``--help``.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
         self.examples = tuple(examples)
         self.parser = argparse.ArgumentParser(add_help=False)
 
-    def add(self, *names: str, **details) -> 'Command':
-        """Add an option or argument, as ``argparse`` takes them."""
-        self.parser.add_argument(*names, **details)
+    def add(self, *names: str, **arguments) -> 'Command':
+        """Add an option or argument; same parameters as ``add_argument``."""
+        self.parser.add_argument(*names, **arguments)
         return self
 
     def with_json(self) -> 'Command':
@@ -57,7 +57,7 @@
         return self.add(
             '--json',
             action='store_true',
-            help='print JSON for machines instead of text',
+            help='print JSON instead of text',
         )
 
     def epilog(self) -> str:
--- a/carawaystair/ui/main.py
+++ b/carawaystair/ui/main.py
@@ -1,4 +1,4 @@
-"""``carawaystair``: the command line tool of operators and pipelines."""
+"""Entry point of ``carawaystair``, the CLI for operators and pipelines."""
 
 import argparse
 import os
@@ -8,13 +8,13 @@
 from carawaystair import plugins
 from carawaystair.ui import command
 
-DESCRIPTION = 'Drive and watch a carawaystair proxy fleet.'
+DESCRIPTION = 'Operate and monitor a carawaystair proxy fleet.'
 
 
 def parser(
     commands: typing.Sequence[command.Command],
 ) -> argparse.ArgumentParser:
-    """Return the parser of the whole command line."""
+    """Return the parser with all subcommands."""
     exits = ['  %3d  %s' % pair for pair in command.EXITS.items()]
     result = argparse.ArgumentParser(
         prog='carawaystair',
@@ -39,10 +39,10 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Entry point of ``carawaystair``.
+    """Run one command line.
 
-    :param arguments: the command line without the program, None for the
-        process's own.
+    :param arguments: the command line without the program name, None for
+        ``sys.argv``.
     :return: the exit code, see ``command.EXITS``.
     """
     commands = plugins.load().commands()
@@ -52,8 +52,8 @@
     except KeyboardInterrupt:
         return command.EXIT_INTERRUPTED
     except BrokenPipeError:
-        # The reader of a pipe has gone, as with "| head": the rest of the
-        # output is not wanted, and the interpreter must not try to flush it.
+        # The reader closed the pipe, as in "| head".  Without the redirection
+        # the interpreter would fail when it flushes standard output at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return command.EXIT_OK
 
--- a/carawaystair/ui/output.py
+++ b/carawaystair/ui/output.py
@@ -1,4 +1,4 @@
-"""What the CLI prints: results to standard output, the rest to error."""
+"""Output of the CLI: results on standard output, messages on error."""
 
 import sys
 import typing
@@ -15,10 +15,10 @@
 
 
 def table(
-    heads: typing.Sequence[str], rows: typing.Iterable[typing.Sequence]
+    headers: typing.Sequence[str], rows: typing.Iterable[typing.Sequence]
 ) -> None:
-    """Print rows in columns as wide as their widest cell."""
-    lines = [tuple(heads), *(tuple(map(str, row)) for row in rows)]
+    """Print a header and rows, each column as wide as its widest cell."""
+    lines = [tuple(headers), *(tuple(map(str, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines)]
     for line in lines:
         cells = (cell.ljust(width) for cell, width in zip(line, widths))
@@ -26,27 +26,27 @@
 
 
 def note(text: str) -> None:
-    """Tell a person something that is no result."""
+    """Print a message to standard error."""
     print(text, file=sys.stderr)
 
 
 def failure(
-    what: codes.Failure, mistakes: typing.Iterable[shape.Mistake] = ()
+    error: codes.Failure, mistakes: typing.Iterable[shape.Mistake] = ()
 ) -> None:
-    """Tell a person what went wrong, every mistake, and what to do."""
-    note('carawaystair: %s' % what.sentence())
+    """Print a failure, all mistakes and the remedy to standard error."""
+    note('carawaystair: %s' % error.sentence())
     for mistake in mistakes:
         note('  %s' % (mistake,))
-    note('  %s' % what.code.remedy)
+    note('  %s' % error.code.remedy)
 
 
 def encode(value) -> bytes:
-    """Return the JSON of a value, ``NamedTuple`` types as objects."""
+    """Encode a value as JSON, ``NamedTuple`` types as objects."""
     return msgspec.json.encode(shape.plain(value))
 
 
 def pairs(value: typing.Mapping) -> None:
-    """Print an object as lines of name and value, nested ones as JSON."""
+    """Print each key and value on a line, nested values as JSON."""
     for key, item in value.items():
         nested = isinstance(item, (dict, list))
         text = encode(item).decode() if nested else item
--- a/carawaystair/ui/timelinepage.py
+++ b/carawaystair/ui/timelinepage.py
@@ -1,7 +1,8 @@
-"""The time line as one HTML page that needs nothing else.
+"""Self-contained HTML page of the time line.
 
-Each host has a lane; each event is a dot, later ones further down, and one
-row of a table.  A text field hides the rows that do not hold its words.
+Each host has a vertical lane.  Each event is a dot in the lane of its host and
+a row of a table, in causal order from top to bottom.  A search field fades
+the rows that do not contain all of its words.
 """
 
 import html
@@ -14,7 +15,7 @@
 DOT_RADIUS_PX = 5
 MARGIN_PX = 14
 
-# Colours by what an event means for an operator; others stay gray.
+# Colours of the kinds of events by severity; other kinds are gray.
 BAD = '#c0392b'
 WARNING = '#d68910'
 GOOD = '#1e8449'
@@ -49,7 +50,7 @@
 </style></head><body>
 <h1>Time line</h1>
 <p>%s</p>
-<input id="words" placeholder="words that a row must hold">
+<input id="words" placeholder="words that a row must contain">
 <div class="view">
 """
 
@@ -68,13 +69,16 @@
 
 
 def page(events: typing.Sequence[timeline.Event]) -> str:
-    """Return the page for events in causal order."""
+    """Return the HTML page.
+
+    :param events: in causal order.
+    """
     hosts = sorted({event.host for event in events})
-    lanes = {host: place for place, host in enumerate(hosts)}
-    about = '%d events of %d hosts; times in UTC' % (len(events), len(hosts))
+    lanes = {host: lane for lane, host in enumerate(hosts)}
+    summary = '%d events of %d hosts; times in UTC' % (len(events), len(hosts))
     return ''.join(
         (
-            HEAD % about,
+            HEAD % summary,
             _svg(events, lanes),
             '<table><tbody>\n',
             *map(_row, events),
@@ -90,9 +94,9 @@
     lines = (
         '<line x1="{0}" x2="{0}" y1="0" y2="{1}" stroke="#d5d8dc">'
         '<title>{2}</title></line>\n'.format(
-            _x(place), height, html.escape(host)
+            _x(lane), height, html.escape(host)
         )
-        for host, place in lanes.items()
+        for host, lane in lanes.items()
     )
     dots = (
         '<circle cx="%d" cy="%d" r="%d" fill="%s"><title>%s %s</title>'
@@ -115,17 +119,18 @@
     )
 
 
-def _x(place: int) -> int:
-    return MARGIN_PX + place * LANE_WIDTH_PX
+def _x(lane: int) -> int:
+    """Return the x coordinate of the centre of a lane, in pixels."""
+    return MARGIN_PX + lane * LANE_WIDTH_PX
 
 
 def _row(event: timeline.Event) -> str:
-    named = (event.service, event.upstream, event.request, event.version)
+    subjects = (event.service, event.upstream, event.request, event.version)
     cells = (
         ('time', timeline.clock_text(event.time)),
         ('host', event.host),
         ('kind', event.kind),
-        ('named', ' '.join(filter(None, named))),
+        ('named', ' '.join(filter(None, subjects))),
         ('text', event.text),
     )
     inner = ''.join(
--- a/test/test_ui.py
+++ b/test/test_ui.py
@@ -1,4 +1,4 @@
-"""Tests of the CLI against a small HTTP server on loopback."""
+"""Tests of the CLI against an HTTP server with fixed responses."""
 
 import http.server
 import json
@@ -16,8 +16,8 @@
 EVENT = {'time': 1 << 16, 'host': 'a', 'kind': 'started', 'service': 'portal'}
 
 
-class Seen(typing.NamedTuple):
-    """One request that the server saw."""
+class Request(typing.NamedTuple):
+    """One request that the server received."""
 
     method: str
     path: str
@@ -26,14 +26,14 @@
 
 
 class Api(http.server.ThreadingHTTPServer):
-    """Answers from a table and keeps what it was asked."""
+    """Responds from a table by method and path; records the requests."""
 
     daemon_threads = True
 
     def __init__(self) -> None:
         super().__init__(('127.0.0.1', 0), _Handler)
-        self.answers: dict = {}
-        self.seen: list[Seen] = []
+        self.responses: dict = {}
+        self.requests: list[Request] = []
         self.base = 'http://127.0.0.1:%d' % self.server_port
 
 
@@ -42,9 +42,10 @@
         size = int(self.headers.get('Content-Length', 0))
         body = self.rfile.read(size)
         headers = dict(self.headers)
-        self.server.seen.append(Seen(self.command, self.path, headers, body))
+        request = Request(self.command, self.path, headers, body)
+        self.server.requests.append(request)
         key = (self.command, self.path.partition('?')[0])
-        status, value = self.server.answers.get(key, (404, {'x': 1}))
+        status, value = self.server.responses.get(key, (404, {'x': 1}))
         data = json.dumps(value).encode()
         self.send_response(status)
         self.send_header('Content-Length', str(len(data)))
@@ -78,7 +79,7 @@
     assert '$.region: expected text' in error
 
 
-def test_check_tells_a_manifest_by_its_keys(tmp_path, capsys):
+def test_check_recognises_a_manifest_by_its_keys(tmp_path, capsys):
     file = tmp_path / 'm.json'
     file.write_text('{"format": 1, "services": {}}')
     assert main.main(['check', '--json', str(file)]) == command.EXIT_INVALID
@@ -88,7 +89,7 @@
     assert {'path': '$.routes', 'text': 'is missing'} in answer['mistakes']
 
 
-def test_missing_file_is_numbered(tmp_path, capsys):
+def test_missing_file_is_reported_with_its_code(tmp_path, capsys):
     assert main.main(['check', str(tmp_path / 'no')]) == command.EXIT_REFUSED
     assert codes.FILE_UNREADABLE.label in capsys.readouterr().err
 
@@ -97,17 +98,17 @@
     (tmp_path / 'm.json').write_text('{}')
     (tmp_path / 'token').write_text('secret\n')
     accepted = {'version': '2.7', 'digest': 'ab12'}
-    server.answers['POST', '/v1/manifests'] = (200, accepted)
+    server.responses['POST', '/v1/manifests'] = (200, accepted)
     line = ['submit', str(tmp_path / 'm.json'), '--parent', 'ff00']
     line += ['--id', 'build-1', '--api', server.base]
     line += ['--token-file', str(tmp_path / 'token')]
     assert main.main(line) == command.EXIT_OK
     assert '2.7' in capsys.readouterr().out
-    seen = server.seen[0]
-    assert seen.body == b'{}'
-    assert seen.headers['Caraway-Parent'] == 'ff00'
-    assert seen.headers['Caraway-Submission'] == 'build-1'
-    assert seen.headers['Authorization'] == 'Bearer secret'
+    request = server.requests[0]
+    assert request.body == b'{}'
+    assert request.headers['Caraway-Parent'] == 'ff00'
+    assert request.headers['Caraway-Submission'] == 'build-1'
+    assert request.headers['Authorization'] == 'Bearer secret'
 
 
 def test_refused_submission_shows_code_and_mistakes(server, tmp_path, capsys):
@@ -117,7 +118,7 @@
         'detail': '',
         'mistakes': [{'path': '$.routes', 'text': 'is missing'}],
     }
-    server.answers['POST', '/v1/manifests'] = (422, refusal)
+    server.responses['POST', '/v1/manifests'] = (422, refusal)
     line = ['submit', str(tmp_path / 'm.json'), '--parent', 'none']
     code = main.main([*line, '--api', server.base])
     assert code == command.EXIT_INVALID
@@ -134,19 +135,19 @@
 
 def test_drain_sends_hosts(server, capsys):
     answer = {'version': '2.8', 'drains': {'hosts': ['a']}}
-    server.answers['POST', '/v1/drains'] = (200, answer)
+    server.responses['POST', '/v1/drains'] = (200, answer)
     line = ['drain', '--host', 'a', '--api', server.base]
     assert main.main(line) == command.EXIT_OK
-    body = json.loads(server.seen[0].body)
+    body = json.loads(server.requests[0].body)
     assert body == {'hosts': ['a'], 'data_centres': [], 'undo': False}
     assert 'Hosts: a' in capsys.readouterr().out
 
 
-def test_timeline_merges_nodes_in_causal_order_and_filters(server, capsys):
+def test_timeline_sorts_events_causally_and_filters_them(server, capsys):
     other = EVENT | {'time': 2 << 16, 'host': 'b', 'service': 'docvault'}
     third = EVENT | {'time': 3 << 16, 'kind': 'stopped'}
     answer = [third, EVENT, other]
-    server.answers['GET', '/v1/timeline'] = (200, answer)
+    server.responses['GET', '/v1/timeline'] = (200, answer)
     line = ['timeline', '--json', '--service', 'portal', '--node', server.base]
     assert main.main(line) == command.EXIT_OK
     lines = capsys.readouterr().out.splitlines()
@@ -156,40 +157,40 @@
     ]
 
 
-def test_events_read_twice_are_shown_once(server, capsys):
-    server.answers['GET', '/v1/timeline'] = (200, [EVENT])
+def test_event_read_from_two_apis_is_printed_once(server, capsys):
+    server.responses['GET', '/v1/timeline'] = (200, [EVENT])
     line = ['timeline', '--json', '--api', server.base]
     assert main.main([*line, '--node', server.base]) == command.EXIT_OK
     assert len(capsys.readouterr().out.splitlines()) == 1
 
 
-def test_odd_answer_is_numbered(server, capsys):
-    server.answers['GET', '/v1/timeline'] = (200, [{'time': 'x'}])
+def test_malformed_response_is_reported_with_its_code(server, capsys):
+    server.responses['GET', '/v1/timeline'] = (200, [{'time': 'x'}])
     line = ['timeline', '--node', server.base]
     assert main.main(line) == command.EXIT_REFUSED
     assert codes.API_ANSWER_ODD.label in capsys.readouterr().err
 
 
-def test_token_file_and_settings_entry_belong_together(tmp_path, capsys):
+def test_generated_token_matches_its_settings_entry(tmp_path, capsys):
     file = tmp_path / 'portal.token'
     line = ['token', 'portal', str(file), '--scope', 'submit']
     assert main.main(line) == command.EXIT_OK
     entry = json.loads(capsys.readouterr().out)
-    given = settings_module.Team(
+    team = settings_module.Team(
         entry['name'], entry['token_digest'], tuple(entry['scopes'])
     )
     bearer = 'Bearer %s' % file.read_text().strip()
-    caller = teams.Teams([given]).caller(bearer).ok
+    caller = teams.Teams([team]).caller(bearer).ok
     assert (caller.team, caller.scopes) == ('portal', {'submit'})
 
 
-def test_codes_explains_one(capsys):
+def test_codes_prints_the_remedy_of_one_code(capsys):
     assert main.main(['codes', 'cs-8002']) == command.EXIT_OK
     assert codes.CONFLICT.remedy in capsys.readouterr().out
     assert main.main(['codes', '7']) == command.EXIT_REFUSED
 
 
-def test_keygen_never_overwrites(tmp_path):
+def test_keygen_does_not_overwrite_a_file(tmp_path):
     file = tmp_path / 'fleet.key'
     assert main.main(['keygen', str(file)]) == command.EXIT_OK
     before = file.read_bytes()
@@ -200,12 +201,12 @@
 
 def test_members_shows_and_changes_the_control_group(server, capsys):
     group = {'members': [{'name': 'c1', 'peer': 'x:1', 'voting': True}]}
-    server.answers['GET', '/v1/status'] = (200, {'control': group})
-    server.answers['POST', '/v1/members'] = (200, group | {'index': 7})
+    server.responses['GET', '/v1/status'] = (200, {'control': group})
+    server.responses['POST', '/v1/members'] = (200, group | {'index': 7})
     api = ['--api', server.base]
     assert main.main(['members', *api]) == command.EXIT_OK
     assert 'voter' in capsys.readouterr().out
     line = ['members', 'add', 'c2', '--peer', '127.0.0.1:7401']
     assert main.main([*line, *api]) == command.EXIT_OK
-    assert json.loads(server.seen[-1].body)['action'] == 'add'
+    assert json.loads(server.requests[-1].body)['action'] == 'add'
     assert main.main(['members', 'add', *api]) == command.EXIT_USAGE
--- a/test/test_ui_timelinepage.py
+++ b/test/test_ui_timelinepage.py
@@ -1,4 +1,4 @@
-"""Tests of the time line as a page."""
+"""Tests of the HTML page of the time line."""
 
 from html import parser
 
@@ -7,57 +7,57 @@
 from test import fakes
 
 
-class Reader(parser.HTMLParser):
-    """Collects what a page shows and what it would fetch."""
+class PageParser(parser.HTMLParser):
+    """Collects rows, colours of dots and URLs that a browser would load."""
 
     def __init__(self):
         super().__init__()
         self.rows = 0
-        self.dots = []
-        self.fetched = []
+        self.dot_colours = []
+        self.urls = []
 
     def handle_starttag(self, tag, attrs):
         values = dict(attrs)
         self.rows += tag == 'tr'
         if tag == 'circle':
-            self.dots.append(values['fill'])
-        self.fetched += [v for k, v in attrs if k in ('src', 'href')]
+            self.dot_colours.append(values['fill'])
+        self.urls += [v for k, v in attrs if k in ('src', 'href')]
 
 
-def _read(*events):
-    reader = Reader()
+def _parse(*events):
+    page = PageParser()
     text = timelinepage.page(events)
-    reader.feed(text)
-    return reader, text
+    page.feed(text)
+    return page, text
 
 
-def test_each_event_has_a_dot_and_a_row_and_nothing_is_fetched():
+def test_each_event_has_a_dot_and_a_row_and_nothing_is_loaded():
     start = fakes.WALL_START_MS << 16
-    reader, text = _read(
+    page, text = _parse(
         timeline.Event(start, 'a', 'upstream-ejected', upstream='portal-1'),
         timeline.Event(start + 1, 'b', 'something-else'),
     )
-    assert reader.rows == 2
-    assert reader.dots == [timelinepage.BAD, timelinepage.NEUTRAL]
-    assert reader.fetched == []
+    assert page.rows == 2
+    assert page.dot_colours == [timelinepage.BAD, timelinepage.NEUTRAL]
+    assert page.urls == []
     assert '22:13:20.000' in text
     assert '2 events of 2 hosts' in text
 
 
 def test_text_of_an_event_cannot_run_in_the_browser():
-    """An upstream's name comes from whoever announces it.
+    """Guards against script injection through names of upstreams.
 
-    Symptom: opening the page runs a stranger's script.  Sequence: an
-    upstream announces itself under a name with markup.  Cause: names that
-    go into the page as they are.
+    An upstream chooses the name that it announces.  If the page contained
+    the name without escaping, markup in it would run as a script in the
+    browser of whoever opens the page.
     """
     script = '<script>alert(1)</script>'
     event = timeline.Event(0, script, script, script, script, text=script)
-    _reader, text = _read(event)
+    _page, text = _parse(event)
     assert script not in text
 
 
-def test_empty_time_line_is_a_page_too():
-    reader, text = _read()
-    assert reader.rows == 0
+def test_empty_time_line_gives_a_page_without_rows():
+    page, text = _parse()
+    assert page.rows == 0
     assert '0 events of 0 hosts' in text
--- a/test/test_ui_whole.py
+++ b/test/test_ui_whole.py
@@ -1,4 +1,4 @@
-"""The CLI against a daemon that holds both roles, on real sockets."""
+"""Tests of the CLI against a running daemon with both roles."""
 
 import json
 import pathlib
@@ -15,12 +15,12 @@
 from test import test_daemon
 from test import test_links
 
-TRIES = 200
+MAX_TRIES = 200
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    """Run a fleet of one; return its settings."""
+    """Run a fleet of one daemon; yield its settings."""
     peer = test_links.free_address()
     file = test_daemon.settings(
         tmp_path,
@@ -44,53 +44,59 @@
         process.wait()
 
 
-def ask(capsys, *line: str) -> tuple[int, str]:
-    """Run one command; return its exit code and its output."""
+def run(capsys, *line: str) -> tuple[int, str]:
+    """Run one command line; return its exit code and standard output."""
     capsys.readouterr()
-    code = main.main([str(word) for word in line])
+    code = main.main([str(argument) for argument in line])
     return code, capsys.readouterr().out
 
 
-def until(capsys, text: str, *line: str) -> str:
-    """Run a command again until it succeeds and shows ``text``."""
-    for _try in range(TRIES):
-        code, out = ask(capsys, *line)
+def run_until(capsys, text: str, *line: str) -> str:
+    """Repeat a command until it succeeds and prints ``text``.
+
+    :return: its standard output.
+    """
+    for _try in range(MAX_TRIES):
+        code, out = run(capsys, *line)
         if code == command.EXIT_OK and text in out:
             return out
         time.sleep(0.05)
-    raise AssertionError('%s never showed %r: %s' % (line, text, out))
+    raise AssertionError(
+        '%s did not print %r in %d tries; last output: %s'
+        % (line, text, MAX_TRIES, out)
+    )
 
 
-def test_submit_reaches_the_node_and_is_answered_again(
+def test_submit_reaches_the_node_and_repeats_give_the_same_answer(
     fleet, tmp_path, capsys
 ):
-    """The answer to a submission is lost on the way to the pipeline.
+    """Guards against an unknown outcome after a lost response.
 
-    Symptom: nobody knows whether the change was made.  Sequence: submit,
-    the answer is lost, the pipeline asks for it and sends it again.  Cause:
-    a dropped connection.
+    A dropped connection loses the response to a submission, and the pipeline
+    can't tell whether the change was made.  It submits again under the same
+    id or asks for that id, and must get the first answer.
     """
     api = ('--api', 'http://%s' % fleet['control']['admin'])
     node = ('--node', 'http://%s' % fleet['node']['local'])
-    until(capsys, '', 'status', *api)
+    run_until(capsys, '', 'status', *api)
     file = tmp_path / 'manifest.json'
     file.write_text(json.dumps(test_admin.MANIFEST))
     submit = ('submit', file, '--parent', 'none', '--id', 'a', '--json', *api)
-    code, first = ask(capsys, *submit)
+    code, first = run(capsys, *submit)
     assert code == command.EXIT_OK
-    assert ask(capsys, *submit) == (command.EXIT_OK, first)
-    asked = ask(capsys, 'submission', 'a', '--json', *api)
-    assert asked == (command.EXIT_OK, first)
-    until(capsys, 'ready                True', 'status', *node)
-    until(capsys, '1 at this version, 0 behind', 'status', *api)
+    assert run(capsys, *submit) == (command.EXIT_OK, first)
+    repeated = run(capsys, 'submission', 'a', '--json', *api)
+    assert repeated == (command.EXIT_OK, first)
+    run_until(capsys, 'ready                True', 'status', *node)
+    run_until(capsys, '1 at this version, 0 behind', 'status', *api)
     version = json.loads(first)['version']
-    shown = ask(capsys, 'timeline', '--version', version, *api, *node)
-    assert 'version-in-force' in shown[1]
+    printed = run(capsys, 'timeline', '--version', version, *api, *node)
+    assert 'version-in-force' in printed[1]
 
 
 def test_suspects_are_listed_and_an_unknown_one_is_not_cleared(fleet, capsys):
     node = ('--node', 'http://%s' % fleet['node']['local'])
-    listed = until(capsys, 'digest', 'suspects', *node)
+    listed = run_until(capsys, 'digest', 'suspects', *node)
     assert listed.split() == [
         'digest',
         'request',
