--- a/bench/exp_gossip.py
+++ b/bench/exp_gossip.py
@@ -12,7 +12,7 @@
 from bench import gossip_model as model
 from carawaystair import interfaces
 from carawaystair.membership import directory as directories
-from carawaystair.membership import ring
+from carawaystair.membership import overlay
 from carawaystair.membership import table as tables
 from carawaystair import timeline
 from test import fakes
@@ -228,13 +228,15 @@
     await model.start(node)
     swarm = model.Swarm(size, member.peer, seed)
     swarm.start()
-    node.flood.take(swarm.records, spread=False)
+    node.flooder.accept(swarm.records, forward=False)
     await asyncio.sleep(3.0)
     before = _sent(node)
     await asyncio.sleep(window_s)
     quiet = _cost(before, _sent(node), window_s)
     count = 20 if window_s < 5 else 200
-    copies = len(ring.neighbours('h0', {'h%d' % n: '' for n in range(size)}))
+    copies = len(
+        overlay.neighbours('h0', {'h%d' % n: '' for n in range(size)})
+    )
     before, began = _sent(node), time.monotonic()
     await asyncio.to_thread(swarm.call, swarm.change(count, copies, 0.02))
     took_s = time.monotonic() - began
--- a/bench/gossip_model.py
+++ b/bench/gossip_model.py
@@ -283,7 +283,7 @@
 
     def _ping(self, sender: str, ping: messages.Ping) -> None:
         self.digests = ping.digests
-        first = messages.first(1)
+        first = messages.first_incarnation(1)
         ack = messages.Ack(ping.nonce, ping.to, first, ping.digests)
         self.datagrams.send(sender, ack)
 
--- a/carawaystair/membership/sync.py
+++ b/carawaystair/membership/anti_entropy.py
@@ -16,11 +16,11 @@
 
 from carawaystair import clock
 from carawaystair import interfaces
+from carawaystair.membership import dead_prober as dead_probers
 from carawaystair.membership import digest
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
 from carawaystair.membership import probe
-from carawaystair.membership import revival as revivals
 from carawaystair.membership import table as tables
 
 TIMEOUT_S = 1.0
@@ -70,13 +70,13 @@
         return True
 
 
-class Sync(mode.Service):
+class AntiEntropy(mode.Service):
     """Compares with others and fetches what is newer there.
 
     :param table: the table of hosts.
-    :param flood: passes on what was fetched.
+    :param flooder: passes on what was fetched.
     :param prober: tells the digests of others.
-    :param revival: probes hosts that others believe alive.
+    :param dead_prober: probes hosts that others believe alive.
     :param transport: the messages of this process.
     :param rng: the source of randomness.
     """
@@ -84,17 +84,17 @@
     def __init__(
         self,
         table: tables.Table,
-        flood: floods.Flood,
+        flooder: flooding.Flooder,
         prober: probe.Prober,
-        revival: revivals.Revival,
+        dead_prober: dead_probers.DeadProber,
         transport: interfaces.Transport,
         rng: random.Random,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
         self.table = table
-        self.flood = flood
-        self.revival = revival
+        self.flooder = flooder
+        self.dead_prober = dead_prober
         self.transport = transport
         self.rng = rng
         self.allowance = Allowance(GIVE_RATE)
@@ -103,7 +103,7 @@
         self.since = [0.0, 0.0]
         self.event = asyncio.Event()
         # Set once this process agreed with another.
-        self.agreed = asyncio.Event()
+        self.synced = asyncio.Event()
         # Whether this process has compared with another one.
         self.met = False
         self.rounds = 0
@@ -123,7 +123,7 @@
             elif self.differing[kind] == host:
                 self.differing[kind] = ''
         if all(equal):
-            self.agreed.set()
+            self.synced.set()
 
     def _differs(self, kind: int, host: str) -> None:
         """Note a difference; that others agree doesn't make it void.
@@ -169,7 +169,7 @@
         :return: whether something new came of it.
         """
         host, self.differing[kind] = self.differing[kind], ''
-        neighbours = [h for h in self.flood.feeds if h != host]
+        neighbours = [h for h in self.flooder.feeds if h != host]
         if neighbours and self.rng.random() >= DIRECT_SHARE:
             host = self.rng.choice(neighbours)
         entry = self.table.entries.get(host)
@@ -217,7 +217,7 @@
             host, incarnation, _sequence = version
             news = self.table.hear(host, messages.ALIVE, incarnation) or news
             # They believe it alive, we believe it dead: a round trip tells.
-            self.revival.contest(host)
+            self.dead_prober.probe_soon(host)
         return news
 
     async def _records(self, peer: str, differ: messages.Differ) -> bool:
@@ -230,7 +230,7 @@
         ]
         # A few late records may be new to others as well; a whole sync, or
         # what a healed network brings, would be flooded by everybody at once.
-        spread = len(wanted) <= FETCH and self.agreed.is_set()
+        spread = len(wanted) <= FETCH and self.synced.is_set()
         for hosts in _chunks(wanted, FETCH):
             if not await self._take(peer, hosts, spread):
                 break
@@ -245,7 +245,7 @@
             batch = messages.Batch(tuple(records))
             result = await self.transport.call(peer, batch, TIMEOUT_S)
             if result.is_ok():
-                self.flood.take(result.ok.newer, spread)
+                self.flooder.accept(result.ok.newer, spread)
             await asyncio.sleep(_size(records) / TAKE_RATE)
         return bool(wanted)
 
@@ -256,7 +256,7 @@
         )
         if result.is_error() or not result.ok.records:
             return False
-        self.flood.take(result.ok.records, spread)
+        self.flooder.accept(result.ok.records, spread)
         await asyncio.sleep(_size(result.ok.records) / TAKE_RATE)
         return True
 
--- a/carawaystair/membership/awareness.py
+++ b/carawaystair/membership/awareness.py
@@ -47,8 +47,8 @@
             not reach the host; they are not all dead at once.
         """
         self.failures += 1
-        self.worsen(silent)
+        self.raise_score(silent)
 
-    def worsen(self, by: int = 1) -> None:
+    def raise_score(self, by: int = 1) -> None:
         """Take note of another sign that this process is in trouble."""
         self.score = min(self.score + by, MAX_SCORE)
--- a/carawaystair/membership/bounds.py
+++ b/carawaystair/membership/bounds.py
@@ -60,7 +60,7 @@
         and address_ok(row.address)
         and 0 < row.slots <= MAX_SLOTS
         and 0 < row.weight <= MAX_WEIGHT * MILLI
-        and 0 <= row.warmup <= MAX_WARMUP_S * MILLI
+        and 0 <= row.warmup_ms <= MAX_WARMUP_S * MILLI
         and 0 <= row.state < STATES
         and number_ok(row.incarnation)
         and number_ok(row.sequence)
--- a/carawaystair/membership/revival.py
+++ b/carawaystair/membership/dead_prober.py
@@ -14,7 +14,7 @@
 MAX_CONTESTED = 256
 
 
-class Revival(mode.Service):
+class DeadProber(mode.Service):
     """Probes hosts believed dead now and then.
 
     :param table: the table of hosts.
@@ -35,7 +35,7 @@
         self.rng = rng
         self.contested: dict[str, None] = {}
 
-    def contest(self, host: str) -> None:
+    def probe_soon(self, host: str) -> None:
         """Probe a host soon if it is believed dead here."""
         if host in self.table.dead and len(self.contested) < MAX_CONTESTED:
             self.contested[host] = None
--- a/carawaystair/membership/interest.py
+++ b/carawaystair/membership/direct_push.py
@@ -13,7 +13,7 @@
 
 from carawaystair import clock
 from carawaystair.membership import directory as directories
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
 from carawaystair.membership import table as tables
 
@@ -32,12 +32,12 @@
 MAX_BYTES = 1200
 
 
-class Interest(mode.Service):
+class DirectPush(mode.Service):
     """Registers with others, and pushes to the registered.
 
     :param table: the table of hosts.
     :param directory: knows the services that this node sends to.
-    :param flood: takes in what others push.
+    :param flooder: takes in what others push.
     :param datagrams: the datagrams of this process.
     """
 
@@ -45,14 +45,14 @@
         self,
         table: tables.Table,
         directory: directories.Directory,
-        flood: floods.Flood,
+        flooder: flooding.Flooder,
         datagrams,
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
         self.table = table
         self.directory = directory
-        self.flood = flood
+        self.flooder = flooder
         self.datagrams = datagrams
         # Address for datagrams and until when its registration holds.
         self.senders: collections.OrderedDict[str, float] = (
@@ -141,7 +141,7 @@
             self.senders.popitem(last=False)
 
     def _receive(self, sender: str, push: messages.Push) -> None:
-        self.flood.take((push.record,))
+        self.flooder.accept((push.record,))
         version = push.record.version
         self.datagrams.send(sender, messages.Pushed(*version))
 
--- a/carawaystair/membership/directory.py
+++ b/carawaystair/membership/directory.py
@@ -225,7 +225,7 @@
         member.data_centre,
         row.slots,
         row.weight / messages.MILLI if row.weight != messages.MILLI else 1.0,
-        row.warmup / messages.MILLI,
+        row.warmup_ms / messages.MILLI,
         messages.STATES[row.state],
         row.incarnation,
         row.sequence,
--- a/carawaystair/membership/aging.py
+++ b/carawaystair/membership/expiry.py
@@ -24,7 +24,7 @@
 SWEEP_S = 10.0
 
 
-class Aging(mode.Service):
+class HostExpiry(mode.Service):
     """Drops old entries from the table.
 
     :param table: the table of hosts.
--- a/carawaystair/membership/flood.py
+++ b/carawaystair/membership/flooding.py
@@ -21,7 +21,7 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair.membership import messages
-from carawaystair.membership import ring
+from carawaystair.membership import overlay
 from carawaystair.membership import table as tables
 
 # A batch that is not answered in this time is sent again, in seconds.  Two
@@ -83,7 +83,7 @@
         self.event.set()
 
 
-class Flood(mode.Service):
+class Flooder(mode.Service):
     """Passes records on.
 
     :param table: the table of hosts.
@@ -102,8 +102,8 @@
         # Versions that were asked for and are to come, and until when.
         self.expected: dict[str, tuple[tuple[int, int], float]] = {}
         # Offers that could not be read, and records that came once more.
-        self.refused = 0
-        self.doubled = 0
+        self.malformed_offers = 0
+        self.duplicates = 0
         self.received = 0
         self.stale = asyncio.Event()
         table.listeners.append(self._changed)
@@ -115,7 +115,7 @@
         for host in list(self.feeds):
             self._drop(host)
 
-    def spread(self, host: str, urgent: bool) -> None:
+    def forward(self, host: str, urgent: bool) -> None:
         """Pass the record of a host on to every neighbour.
 
         :param urgent: at once, without asking who lacks it.
@@ -125,28 +125,28 @@
         for feed in self.feeds.values():
             feed.add(host, urgent)
 
-    def take(
-        self, records: typing.Iterable[messages.Record], spread: bool = True
+    def accept(
+        self, records: typing.Iterable[messages.Record], forward: bool = True
     ) -> int:
         """Take records in.
 
-        :param spread: whether to pass on those that are new.
+        :param forward: whether to pass on those that are new.
         :return: how many were new.
         """
-        return sum(self._put(record, spread) for record in records)
+        return sum(self._put(record, forward) for record in records)
 
-    def _put(self, record: messages.Record, spread: bool) -> bool:
+    def _put(self, record: messages.Record, forward: bool) -> bool:
         """Take a record in; tell whether it was new."""
         entry = self.table.entries.get(record.host)
         old = None if entry is None else entry.record
         if not self.table.put(record):
             return False
         self.expected.pop(record.host, None)
-        if spread:
-            self.spread(record.host, messages.takes_away(old, record))
+        if forward:
+            self.forward(record.host, messages.ends_upstreams(old, record))
         return True
 
-    async def drained(self, time_s: float) -> bool:
+    async def wait_until_acknowledged(self, time_s: float) -> bool:
         """Wait until no neighbour waits for anything.
 
         :param time_s: seconds to wait at most.
@@ -165,7 +165,7 @@
             entry.member.host: entry.member.data_centre
             for entry in (self.table.me, *self.table.up())
         }
-        wanted = ring.neighbours(self.table.host, centres)
+        wanted = overlay.neighbours(self.table.host, centres)
         for host in self.feeds.keys() - set(wanted):
             self._drop(host)
         for host in wanted:
@@ -224,7 +224,7 @@
             for record in batch:
                 feed.add(record.host)
             return False
-        self.take(result.ok.newer)
+        self.accept(result.ok.newer)
         size = sum(len(record.body) for record in batch)
         await asyncio.sleep(size / RATE)
         return True
@@ -300,7 +300,7 @@
         """Answer which of the offered records this process lacks."""
         versions = messages.unpack_versions(offer.versions)
         if versions is None:
-            self.refused += 1
+            self.malformed_offers += 1
             return messages.Wanted(())
         lacking = [v for v in versions[:MAX_OFFERED] if self._lacks(v)]
         now = clock.now()
@@ -330,9 +330,9 @@
     async def _receive(
         self, _sender: str, batch: messages.Batch
     ) -> messages.Taken:
-        new = self.take(batch.records)
+        new = self.accept(batch.records)
         self.received += len(batch.records)
-        self.doubled += len(batch.records) - new
+        self.duplicates += len(batch.records) - new
         return messages.Taken(self._newer(batch.records))
 
     def _newer(
--- a/carawaystair/membership/gossip.py
+++ b/carawaystair/membership/gossip.py
@@ -13,7 +13,7 @@
 import mode
 
 from carawaystair.membership import messages
-from carawaystair.membership import news as queues
+from carawaystair.membership import news_queue
 from carawaystair.membership import table as tables
 
 # While there is news, it goes to so many processes in so much time.
@@ -38,7 +38,7 @@
         self.table = table
         self.datagrams = datagrams
         self.rng = rng
-        self.queue = queues.Queue(lambda: len(table.up()))
+        self.queue = news_queue.Queue(lambda: len(table.up()))
         # Takes each piece of news that is to be believed, see suspicion.
         self.believe: typing.Callable[[messages.News], None] = self.queue.add
         datagrams.handle(messages.Rumour, self._rumoured)
--- a/carawaystair/membership/join.py
+++ b/carawaystair/membership/join.py
@@ -8,10 +8,10 @@
 
 from carawaystair import interfaces
 from carawaystair import logs
-from carawaystair.membership import flood as floods
+from carawaystair.membership import dead_prober as dead_probers
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
 from carawaystair.membership import probe
-from carawaystair.membership import revival as revivals
 from carawaystair.membership import table as tables
 
 TIMEOUT_S = 1.0
@@ -34,9 +34,9 @@
     """Asks seeds until one answers, and answers as a seed.
 
     :param table: the table of hosts.
-    :param flood: passes records on.
+    :param flooder: passes records on.
     :param prober: probes newcomers.
-    :param revival: probes hosts that others believe alive.
+    :param dead_prober: probes hosts that others believe alive.
     :param transport: the messages of this process.
     :param seeds: addresses for messages of some processes.
     :param rng: the source of randomness.
@@ -45,9 +45,9 @@
     def __init__(
         self,
         table: tables.Table,
-        flood: floods.Flood,
+        flooder: flooding.Flooder,
         prober: probe.Prober,
-        revival: revivals.Revival,
+        dead_prober: dead_probers.DeadProber,
         transport: interfaces.Transport,
         seeds: typing.Sequence[str],
         rng: random.Random,
@@ -55,9 +55,9 @@
     ) -> None:
         super().__init__(**kwargs)
         self.table = table
-        self.flood = flood
+        self.flooder = flooder
         self.prober = prober
-        self.revival = revival
+        self.dead_prober = dead_prober
         self.transport = transport
         own = table.me.member.peer
         self.seeds = tuple(seed for seed in seeds if seed != own)
@@ -100,10 +100,10 @@
             return
         if result.ok.incarnation:
             self.table.outdated(result.ok.incarnation)
-        self.flood.take(result.ok.records, spread=False)
+        self.flooder.accept(result.ok.records, forward=False)
         # After a long cut they are known and believed dead.
         for record in result.ok.records:
-            self.revival.contest(record.host)
+            self.dead_prober.probe_soon(record.host)
 
     async def _hello(
         self, _sender: str, hello: messages.Hello
@@ -123,7 +123,7 @@
         stranger = tables.Entry(record, tables.member(record, body), 0.0)
         if not await self.prober.reach(known or stranger, REACH_S):
             return None
-        self.flood.take((record,))
+        self.flooder.accept((record,))
         return messages.Greeting(0, self._sample(record.host))
 
     def _sample(self, newcomer: str) -> tuple[messages.Record, ...]:
--- a/carawaystair/membership/messages.py
+++ b/carawaystair/membership/messages.py
@@ -17,7 +17,7 @@
 SUSPECT = 1
 DEAD = 2
 LEFT = 3
-NAMES = ('alive', 'suspect', 'dead', 'left')
+STATE_NAMES = ('alive', 'suspect', 'dead', 'left')
 
 # The incarnation of a host's liveness counts the starts of its process in the
 # upper bits and the refutations of each start in these lower bits.
@@ -29,11 +29,11 @@
 # A body is compressed, which halves it: in memory, on the wire, and so that
 # it fits a datagram.  Larger than this it is refused before it is inflated:
 # a few hundred bytes could otherwise ask for gigabytes.
-MAX_BODY = 64 * 1024
-RAW = -15
+MAX_BODY_BYTES = 64 * 1024
+RAW_DEFLATE = -15
 
 
-def first(start: int) -> int:
+def first_incarnation(start: int) -> int:
     """Return the liveness incarnation that a process starts with.
 
     :param start: the incarnation of its record.
@@ -41,7 +41,7 @@
     return start << REFUTATION_BITS
 
 
-def start(incarnation: int) -> int:
+def process_start(incarnation: int) -> int:
     """Return the start of the process that a liveness is about."""
     return incarnation >> REFUTATION_BITS
 
@@ -54,7 +54,7 @@
     :param address: ``ip:port``.
     :param slots: requests at once.
     :param weight: thousandths of a normal share.
-    :param warmup: milliseconds from its start to full load.
+    :param warmup_ms: milliseconds from its start to full load.
     :param state: index into :data:`STATES`.
     :param incarnation: grows with every start of the upstream.
     :param sequence: the record's sequence at its last change.
@@ -65,7 +65,7 @@
     address: str
     slots: int
     weight: int
-    warmup: int
+    warmup_ms: int
     state: int
     incarnation: int
     sequence: int
@@ -378,12 +378,12 @@
 
 def pack(body: Body) -> bytes:
     """Encode the body of a record."""
-    return zlib.compress(_ENCODER.encode(body), wbits=RAW)
+    return zlib.compress(_ENCODER.encode(body), wbits=RAW_DEFLATE)
 
 
 def pack_versions(versions: tuple[Version, ...]) -> bytes:
     """Encode versions; names of hosts have much in common."""
-    return zlib.compress(_ENCODER.encode(versions), wbits=RAW)
+    return zlib.compress(_ENCODER.encode(versions), wbits=RAW_DEFLATE)
 
 
 def unpack_versions(data: bytes) -> tuple[Version, ...] | None:
@@ -391,7 +391,7 @@
     return _inflate(data, _VERSIONS)
 
 
-def takes_away(old: Record | None, new: Record) -> bool:
+def ends_upstreams(old: Record | None, new: Record) -> bool:
     """Tell whether a record ends work at upstreams of the former one.
 
     Nodes must hear of that at once, or they send new work there.
@@ -433,10 +433,10 @@
 
 def unpack(data: bytes) -> Body | None:
     """Decode the body of a record, see :func:`read`."""
-    return read(data).body
+    return unpack_usable(data).body
 
 
-def read(data: bytes) -> Unpacked:
+def unpack_usable(data: bytes) -> Unpacked:
     """Decode the body of a record, without the upstreams that can't be."""
     body = _decode(data)
     if body is None or all(map(bounds.row_ok, body.upstreams)):
@@ -453,9 +453,9 @@
 
 def _inflate(data: bytes, decoder: msgspec.msgpack.Decoder) -> typing.Any:
     """Decode compressed msgpack; None where it is malformed or too large."""
-    inflater = zlib.decompressobj(RAW)
+    inflater = zlib.decompressobj(RAW_DEFLATE)
     try:
-        text = inflater.decompress(data, MAX_BODY)
+        text = inflater.decompress(data, MAX_BODY_BYTES)
         return decoder.decode(text) if inflater.eof else None
     except (zlib.error, msgspec.DecodeError, ValueError, RecursionError):
         return None
--- a/carawaystair/membership/ring.py
+++ b/carawaystair/membership/overlay.py
@@ -25,7 +25,7 @@
 BASE = 3
 # Links from one data centre to another one; the loss of all but one is borne
 # until it is noticed.
-CENTRE_LINKS = 3
+LINKS_BETWEEN_CENTRES = 3
 # Hashes that are remembered, four for each host of the size designed for.
 MOST_HASHES = 10_000
 
@@ -81,14 +81,16 @@
     targets = _ranked(far, own)
     return tuple(
         targets[link % len(targets)]
-        for link in range(CENTRE_LINKS)
+        for link in range(LINKS_BETWEEN_CENTRES)
         if sources[link % len(sources)] == host
     )
 
 
 def _ranked(hosts: typing.Iterable[str], centre: str) -> list[str]:
     """Return the hosts with the most weight for a data centre, best first."""
-    return sorted(hosts, key=lambda name: _weight(name, centre))[:CENTRE_LINKS]
+    return sorted(hosts, key=lambda name: _weight(name, centre))[
+        :LINKS_BETWEEN_CENTRES
+    ]
 
 
 @functools.lru_cache(MOST_HASHES)
--- a/carawaystair/membership/probe.py
+++ b/carawaystair/membership/probe.py
@@ -256,7 +256,7 @@
             return
         if ping.known > self.table.me.member.incarnation:
             # Only an earlier process of this host can have said that.
-            self.table.outdated(messages.start(ping.known))
+            self.table.outdated(messages.process_start(ping.known))
         self.gossip.take(ping.host, ping.news)
         ack = messages.Ack(
             ping.nonce,
--- a/carawaystair/membership/service.py
+++ b/carawaystair/membership/service.py
@@ -11,21 +11,21 @@
 from carawaystair import clock
 from carawaystair import interfaces
 from carawaystair import logs
-from carawaystair.membership import aging
+from carawaystair.membership import anti_entropy
 from carawaystair.membership import api
 from carawaystair.membership import bounds
+from carawaystair.membership import dead_prober
+from carawaystair.membership import direct_push
 from carawaystair.membership import directory as directories
 from carawaystair.membership import distance as distances
-from carawaystair.membership import flood as floods
+from carawaystair.membership import expiry
+from carawaystair.membership import flooding
 from carawaystair.membership import gossip
-from carawaystair.membership import interest as interests
 from carawaystair.membership import join
 from carawaystair.membership import members as member_lists
 from carawaystair.membership import messages
 from carawaystair.membership import probe
 from carawaystair.membership import registry as registries
-from carawaystair.membership import revival
-from carawaystair.membership import sync as syncs
 from carawaystair.membership import table as tables
 
 # An arrival waits so long for others, in seconds, and so long since the last
@@ -117,32 +117,32 @@
         self.registry.elsewhere = self.directory.life
         self.directory.subscribe(self._told)
         self.table.own(self._record(), self._liveness())
-        self.flood = floods.Flood(self.table, transport)
+        self.flooder = flooding.Flooder(self.table, transport)
         self.gossip = gossip.Gossip(self.table, datagrams, rng)
         self.prober = probe.Prober(self.table, self.gossip, datagrams, rng)
-        self.revival = revival.Revival(self.table, self.prober, rng)
-        self.prober.suspicions.stood_still.append(self._stood_still)
-        self.sync = syncs.Sync(
+        self.dead_prober = dead_prober.DeadProber(self.table, self.prober, rng)
+        self.prober.suspicions.pause_listeners.append(self._stood_still)
+        self.anti_entropy = anti_entropy.AntiEntropy(
             self.table,
-            self.flood,
+            self.flooder,
             self.prober,
-            self.revival,
+            self.dead_prober,
             transport,
             rng,
         )
-        self.interest = interests.Interest(
-            self.table, self.directory, self.flood, datagrams
+        self.direct_push = direct_push.DirectPush(
+            self.table, self.directory, self.flooder, datagrams
         )
         self.joining = join.Joining(
             self.table,
-            self.flood,
+            self.flooder,
             self.prober,
-            self.revival,
+            self.dead_prober,
             transport,
             seeds,
             rng,
         )
-        self.aging = aging.Aging(self.table)
+        self.expiry = expiry.HostExpiry(self.table)
         self.api = api.Api(self.registry, self.directory)
 
     @property
@@ -151,7 +151,7 @@
 
         It is set as well when no other process is named to ask.
         """
-        return self.sync.agreed
+        return self.anti_entropy.synced
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes for the upstreams of this host."""
@@ -162,14 +162,14 @@
         parts = (
             self.directory,
             self.registry,
-            self.flood,
+            self.flooder,
             self.gossip,
             self.prober,
-            self.revival,
-            self.sync,
-            self.interest,
+            self.dead_prober,
+            self.anti_entropy,
+            self.direct_push,
             self.joining,
-            self.aging,
+            self.expiry,
         )
         if not self.joining.seeds:
             self.joined.set()
@@ -191,7 +191,9 @@
         self.left = True
         self._publish()
         left_s = max(self.leave_by - clock.now(), LEAVE_LEAST_S)
-        if not await self.flood.drained(min(LEAVE_S, left_s)):
+        if not await self.flooder.wait_until_acknowledged(
+            min(LEAVE_S, left_s)
+        ):
             LOG.warning('Left without every acknowledgement.')
 
     def publish(self, urgent: bool) -> None:
@@ -220,12 +222,12 @@
 
         :param incarnation: the one that they say it of.
         """
-        if messages.start(incarnation) > self.incarnation:
-            self.renumber(messages.start(incarnation))
+        if messages.process_start(incarnation) > self.incarnation:
+            self.renumber(messages.process_start(incarnation))
         elif not self.left and incarnation >= self._liveness():
             self.refutations += 1
             self.table.own(self.table.me.record, self._liveness())
-            self.prober.awareness.worsen()
+            self.prober.awareness.raise_score()
             self.gossip.refute()
 
     def renumber(self, incarnation: int) -> None:
@@ -245,7 +247,7 @@
 
     def _liveness(self) -> int:
         """Return the incarnation that probes are answered with."""
-        return messages.first(self.incarnation) + self.refutations
+        return messages.first_incarnation(self.incarnation) + self.refutations
 
     def _publish(self) -> None:
         if self.gather is not None:
@@ -254,18 +256,18 @@
         self.sequence += 1
         self.published = clock.now()
         record = self._record()
-        urgent = messages.takes_away(self.table.me.record, record)
+        urgent = messages.ends_upstreams(self.table.me.record, record)
         self.table.own(record, self._liveness())
-        self.flood.spread(self.identity.host, urgent)
+        self.flooder.forward(self.identity.host, urgent)
         if urgent:
-            self.interest.push(record)
+            self.direct_push.push(record)
 
     def _stood_still(self, late: float) -> None:
         """Take note that this process stood still.
 
         :param late: for so many seconds.
         """
-        self.prober.awareness.worsen()
+        self.prober.awareness.raise_score()
         if late < DOUBT_S:
             return
         LOG.warning('Stood still; joins anew.', seconds=round(late))
--- a/carawaystair/membership/suspicion.py
+++ b/carawaystair/membership/suspicion.py
@@ -15,7 +15,7 @@
 from carawaystair import clock
 from carawaystair import logs
 from carawaystair.membership import messages
-from carawaystair.membership import news as queues
+from carawaystair.membership import news_queue
 from carawaystair.membership import table as tables
 
 # Least time of suspicion, as a multiple of log10(n) and the probe period.
@@ -82,7 +82,7 @@
     def __init__(
         self,
         table: tables.Table,
-        queue: queues.Queue,
+        queue: news_queue.Queue,
         period_s: float,
         isolated: typing.Callable[[float], bool],
         reach: typing.Callable[[tables.Entry], typing.Awaitable[bool]],
@@ -97,7 +97,7 @@
         self.cases: dict[str, Case] = {}
         self.closing: set[asyncio.Task] = set()
         # Called with the seconds for which the process stood still.
-        self.stood_still: list[typing.Callable[[float], None]] = []
+        self.pause_listeners: list[typing.Callable[[float], None]] = []
         table.listeners.append(self._changed)
 
     def suspect(self, entry: tables.Entry) -> None:
@@ -156,7 +156,7 @@
             late = now - last - pause_s
             last = now
             if late > LATE_S:
-                for callback in self.stood_still:
+                for callback in self.pause_listeners:
                     callback(late)
             self.expire(now)
 
--- a/carawaystair/membership/table.py
+++ b/carawaystair/membership/table.py
@@ -144,7 +144,7 @@
             # itself: it restarted behind a clock that was set back.
             self.outdated(record.incarnation)
             return False
-        body, left_out = messages.read(record.body)
+        body, left_out = messages.unpack_usable(record.body)
         full = entry is None and len(self.entries) >= MAX_HOSTS
         if body is None or full:
             self._refuse(record, 'no room' if full else 'malformed')
@@ -206,7 +206,7 @@
             return False
         if not _overrides(state, incarnation, entry.state, known):
             return False
-        newer = messages.start(incarnation) > entry.record.incarnation
+        newer = messages.process_start(incarnation) > entry.record.incarnation
         if state == messages.ALIVE and newer:
             # Its process has started anew.  Were it taken for alive now,
             # the upstreams that the old process announced would be listed
@@ -250,7 +250,7 @@
         self, entry: Entry, record: messages.Record, body: messages.Body
     ) -> None:
         change = Change(entry, entry.state, entry.record)
-        born = messages.first(record.incarnation)
+        born = messages.first_incarnation(record.incarnation)
         restarted = born > entry.member.incarnation
         incarnation = max(born, entry.member.incarnation)
         entry.record = record
@@ -309,6 +309,6 @@
         sys.intern(body.region),
         sys.intern(body.peer),
         sys.intern(body.gossip),
-        messages.first(record.incarnation),
+        messages.first_incarnation(record.incarnation),
         body.control,
     )
--- a/carawaystair/node.py
+++ b/carawaystair/node.py
@@ -38,8 +38,8 @@
         for part in self.parts:
             await self.add_runtime_dependency(part)
         metrics.collect(nodemetrics.KernelMetrics(self.kernel).samples)
-        flood = nodemetrics.FloodMetrics(self.membership.flood)
-        metrics.collect(flood.samples)
+        flood_metrics = nodemetrics.FloodMetrics(self.membership.flooder)
+        metrics.collect(flood_metrics.samples)
         metrics.collect(nodemetrics.NodeMetrics(self.report).samples)
         metrics.collect(nodemetrics.FollowerMetrics(self.follower).samples)
 
--- a/carawaystair/nodemetrics.py
+++ b/carawaystair/nodemetrics.py
@@ -6,7 +6,7 @@
 from carawaystair.control import interfaces as control
 from carawaystair import follower
 from carawaystair import invariants
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair import metrics
 
 
@@ -41,18 +41,18 @@
 class FloodMetrics:
     """Metrics of records that other processes pass on.
 
-    :param flood: the flooding of this process.
+    :param flooder: the flooding of this process.
     """
 
-    def __init__(self, flood: floods.Flood) -> None:
-        self.flood = flood
+    def __init__(self, flooder: flooding.Flooder) -> None:
+        self.flooder = flooder
 
     def samples(self) -> typing.Iterator[metrics.Sample]:
         """Yield the samples."""
-        flood = self.flood
-        yield metrics.Sample('records_received_total', flood.received)
-        yield metrics.Sample('records_doubled_total', flood.doubled)
-        yield metrics.Sample('offers_refused_total', flood.refused)
+        flooder = self.flooder
+        yield metrics.Sample('records_received_total', flooder.received)
+        yield metrics.Sample('records_doubled_total', flooder.duplicates)
+        yield metrics.Sample('offers_refused_total', flooder.malformed_offers)
 
 
 class NodeMetrics:
--- a/carawaystair/quarantine/dissemination.py
+++ b/carawaystair/quarantine/dissemination.py
@@ -13,7 +13,7 @@
 
 from carawaystair import interfaces
 from carawaystair.load import crash_suspects
-from carawaystair.membership import ring
+from carawaystair.membership import overlay
 from carawaystair.quarantine import messages
 
 # Facts that are not acknowledged within this time are sent again.
@@ -124,7 +124,7 @@
         """Open and close feeds to match the neighbours in the overlay."""
         alive = {member.host: member for member in self.members.alive()}
         data_centres = {host: each.data_centre for host, each in alive.items()}
-        wanted = ring.neighbours(self.members.me.host, data_centres)
+        wanted = overlay.neighbours(self.members.me.host, data_centres)
         for host in self.feeds.keys() - set(wanted):
             self._drop(host)
         for host in wanted:
--- a/test/gateway_setup.py
+++ b/test/gateway_setup.py
@@ -92,7 +92,7 @@
                 self.node.host,
                 self.node.data_centre,
                 row.slots,
-                warmup_s=row.warmup / 1000,
+                warmup_s=row.warmup_ms / 1000,
                 state=('up', 'draining')[row.state],
                 incarnation=row.incarnation,
             )
--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -30,7 +30,7 @@
 
     def put(self, host, sequence, *rows, **kwargs):
         """Take in a record."""
-        self.table.put(spread.record(host, 1, sequence, rows, **kwargs))
+        self.table.put(spread.make_record(host, 1, sequence, rows, **kwargs))
 
     def ids(self, service='stock'):
         """Return ids and hosts of a service."""
@@ -72,13 +72,13 @@
     def _steps(it):
         it.put('h1', 1, row('a'))
         assert it.ids() == [('a', 'h1')]
-        it.table.hear('h1', messages.SUSPECT, messages.first(1))
+        it.table.hear('h1', messages.SUSPECT, messages.first_incarnation(1))
         assert it.ids() == [('a', 'h1')]
-        it.table.hear('h1', messages.DEAD, messages.first(1))
+        it.table.hear('h1', messages.DEAD, messages.first_incarnation(1))
         assert it.ids() == []
         it.put('h1', 2, row('a'), row('b'))
         assert it.ids() == []
-        it.table.hear('h1', messages.ALIVE, messages.first(1) + 1)
+        it.table.hear('h1', messages.ALIVE, messages.first_incarnation(1) + 1)
         assert it.ids() == [('a', 'h1'), ('b', 'h1')]
         states = [state for _id, _host, state in it.told]
         assert states == ['up', 'gone', 'up', 'up']
@@ -96,10 +96,12 @@
 
     def _steps(it):
         it.put('h1', 1, row('a'))
-        it.table.hear('h1', messages.DEAD, messages.first(1))
-        assert not it.table.hear('h1', messages.ALIVE, messages.first(2))
+        it.table.hear('h1', messages.DEAD, messages.first_incarnation(1))
+        assert not it.table.hear(
+            'h1', messages.ALIVE, messages.first_incarnation(2)
+        )
         assert it.ids() == []
-        it.table.put(spread.record('h1', 2, 0, (row('b'),)))
+        it.table.put(spread.make_record('h1', 2, 0, (row('b'),)))
         assert it.ids() == [('b', 'h1')]
 
     run(_steps)
@@ -119,7 +121,7 @@
         assert it.ids() == [('a', 'h1')]
         it.put('h2', 1, row('a', incarnation=2))
         assert it.ids() == [('a', 'h2')]
-        it.table.hear('h1', messages.DEAD, messages.first(1))
+        it.table.hear('h1', messages.DEAD, messages.first_incarnation(1))
         assert it.ids() == [('a', 'h2')]
         assert it.told[-1] == ('a', 'h2', 'up')
         it.put('h2', 2)
--- a/test/test_lifetimes.py
+++ b/test/test_lifetimes.py
@@ -13,7 +13,7 @@
 from carawaystair.membership import registry as registries
 from test import fakes
 from test import test_directory as directories
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 SAID = registries.Announcement('stock', '127.0.0.1:9000', 4)
 GATEWAY = '127.0.0.1:7000'
@@ -301,7 +301,7 @@
     """
 
     async def _run():
-        nodes = await whole.fleet(fakes.Network(), 4)
+        nodes = await membership_tests.start_fleet(fakes.Network(), 4)
         host = nodes[1].identity.host
 
         def say(incarnation, number):
@@ -329,16 +329,18 @@
     """
 
     async def _run():
-        nodes = await whole.fleet(fakes.Network(), 4)
+        nodes = await membership_tests.start_fleet(fakes.Network(), 4)
         there = {5: nodes[1], 9: nodes[2]}
         for incarnation in (first, 14 - first):
-            whole.announce(there[incarnation], 'a', incarnation=incarnation)
+            membership_tests.announce(
+                there[incarnation], 'a', incarnation=incarnation
+            )
             await asyncio.sleep(1.5)
         stands = {'a': (nodes[2].identity.host, 9, 'up')}
         await agreed(nodes, stands)
         told = []
         nodes[0].directory.subscribe(told.append)
-        whole.announce(nodes[1], 'a', 'draining', incarnation=5)
+        membership_tests.announce(nodes[1], 'a', 'draining', incarnation=5)
         nodes[1].registry.remove('a', 5)
         await asyncio.sleep(1.5)
         assert [lives(node) for node in nodes] == [stands] * 4
@@ -355,13 +357,13 @@
     """
 
     async def _run():
-        nodes = await whole.fleet(fakes.Network(), 4)
-        whole.announce(nodes[2], 'a', incarnation=9)
+        nodes = await membership_tests.start_fleet(fakes.Network(), 4)
+        membership_tests.announce(nodes[2], 'a', incarnation=9)
         stands = {'a': (nodes[2].identity.host, 9, 'up')}
         await agreed(nodes, stands)
-        assert old(whole.announce(nodes[3], 'a', incarnation=5))
+        assert old(membership_tests.announce(nodes[3], 'a', incarnation=5))
         assert nodes[3].registry.rows() == ()
-        assert whole.announce(nodes[2], 'a', incarnation=9).is_ok()
+        assert membership_tests.announce(nodes[2], 'a', incarnation=9).is_ok()
         assert [lives(node) for node in nodes] == [stands] * 4
 
     fakes.run(_run())
@@ -375,14 +377,14 @@
     """
 
     async def _run():
-        nodes = await whole.fleet(fakes.Network(), 4)
-        whole.announce(nodes[1], 'a', incarnation=5)
+        nodes = await membership_tests.start_fleet(fakes.Network(), 4)
+        membership_tests.announce(nodes[1], 'a', incarnation=5)
         await asyncio.sleep(1.5)
-        whole.announce(nodes[2], 'a', incarnation=9)
+        membership_tests.announce(nodes[2], 'a', incarnation=9)
         await agreed(nodes, {'a': (nodes[2].identity.host, 9, 'up')})
         await asyncio.sleep(1.0)
         assert nodes[1].registry.rows() == ()
-        assert old(whole.announce(nodes[1], 'a', incarnation=5))
+        assert old(membership_tests.announce(nodes[1], 'a', incarnation=5))
 
     fakes.run(_run())
 
@@ -397,15 +399,15 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
-        whole.announce(nodes[1], 'a', incarnation=5)
+        nodes = await membership_tests.start_fleet(network, 6)
+        membership_tests.announce(nodes[1], 'a', incarnation=5)
         await agreed(nodes, {'a': (nodes[1].identity.host, 5, 'up')})
         cut = [nodes[1].identity.peer]
         rest = [n.identity.peer for n in nodes if n is not nodes[1]]
         network.cut(cut, rest)
         await asyncio.sleep(20.0)
-        whole.announce(nodes[2], 'a', incarnation=9)
-        whole.announce(nodes[1], 'a', 'draining', incarnation=5)
+        membership_tests.announce(nodes[2], 'a', incarnation=9)
+        membership_tests.announce(nodes[1], 'a', 'draining', incarnation=5)
         await asyncio.sleep(2.0)
         network.heal()
         stands = {'a': (nodes[2].identity.host, 9, 'up')}
--- a/test/test_malformed_records.py
+++ b/test/test_malformed_records.py
@@ -15,14 +15,14 @@
 
 from carawaystair.control import group as groups
 from carawaystair.control import submissions
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
 from carawaystair.membership import table as tables
 from carawaystair import rows
 from carawaystair import wire
 from test import fakes
 from test import test_directory as directories
-from test import test_membership as whole
+from test import test_membership as membership_tests
 from test import test_membership_spread as spread
 
 FIXED = hypothesis.settings(max_examples=200, derandomize=True, deadline=None)
@@ -34,8 +34,8 @@
     'slots-huge': 2**40,
     'weight': 0,
     'weight-huge': 2**40,
-    'warmup': -1,
-    'warmup-huge': 2**40,
+    'warmup_ms': -1,
+    'warmup_ms-huge': 2**40,
     'address': '',
     'address-name': 'example.org:80',
     'address-port': '127.0.0.1:99999',
@@ -63,11 +63,11 @@
         field = kind.partition('-')[0]
         bad = directories.row('bad')._replace(**{field: WRONG[kind]})
         taken = [
-            spread.record('h1', 1, 1, (directories.row('a'), bad)),
-            spread.record('h2', 1, 1, (directories.row('b'),)),
+            spread.make_record('h1', 1, 1, (directories.row('a'), bad)),
+            spread.make_record('h2', 1, 1, (directories.row('b'),)),
         ]
-        flood = floods.Flood(it.table, fakes.Network().transport('x:1'))
-        assert flood.take(taken) == 2
+        flooder = flooding.Flooder(it.table, fakes.Network().transport('x:1'))
+        assert flooder.accept(taken) == 2
         assert it.ids() == [('a', 'h1'), ('b', 'h2')]
 
     directories.run(_steps)
@@ -111,10 +111,10 @@
     """
 
     def _steps(it):
-        sound = spread.record('h2', 1, 1, (directories.row('b'),))
-        bad = spread.record('h1', 1, 1)._replace(**changes)
-        flood = floods.Flood(it.table, fakes.Network().transport('x:1'))
-        assert flood.take([bad, sound]) == 1
+        sound = spread.make_record('h2', 1, 1, (directories.row('b'),))
+        bad = spread.make_record('h1', 1, 1)._replace(**changes)
+        flooder = flooding.Flooder(it.table, fakes.Network().transport('x:1'))
+        assert flooder.accept([bad, sound]) == 1
         assert it.ids() == [('b', 'h2')]
 
     directories.run(_steps)
@@ -126,7 +126,7 @@
 )
 def test_record_without_a_way_to_its_host_is_left_out(changes):
     def _steps(it):
-        bad = spread.record('h1', 1, 1)
+        bad = spread.make_record('h1', 1, 1)
         body = messages.unpack(bad.body)._replace(**changes)
         assert not it.table.put(bad._replace(body=messages.pack(body)))
         assert 'h1' not in it.table.entries
@@ -142,12 +142,12 @@
     """
 
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         host = node.identity.host
         before = node.incarnation
         assert not node.table.hear(host, messages.SUSPECT, incarnation)
         assert node.incarnation == before
-        node.table.put(spread.record('h1', 1, 1))
+        node.table.put(spread.make_record('h1', 1, 1))
         assert not node.table.hear('h1', messages.DEAD, incarnation)
         assert node.table.entries['h1'].up
 
@@ -168,7 +168,7 @@
     monkeypatch.setattr(tables, 'LOG', _Log())
 
     def _steps(it):
-        bad = spread.record('h1', 1, 1)._replace(body=b'')
+        bad = spread.make_record('h1', 1, 1)._replace(body=b'')
         for _time in range(500):
             it.table.put(bad)
         assert it.table.refused == 500
@@ -220,13 +220,15 @@
         address = '127.0.0.1:1'
         body = ['dc', 'region', address, address, False, drawn]
         packer = messages.zlib.compress
-        packed = packer(msgspec.msgpack.encode(body), wbits=messages.RAW)
+        packed = packer(
+            msgspec.msgpack.encode(body), wbits=messages.RAW_DEFLATE
+        )
         taken = [
             messages.Record('h1', 1, 1, False, packed),
-            spread.record('h2', 1, 1, (directories.row('b'),)),
+            spread.make_record('h2', 1, 1, (directories.row('b'),)),
         ]
-        flood = floods.Flood(it.table, fakes.Network().transport('x:1'))
-        flood.take(taken)
+        flooder = flooding.Flooder(it.table, fakes.Network().transport('x:1'))
+        flooder.accept(taken)
         assert ('b', 'h2') in it.ids()
         for service in it.directory.services():
             for upstream in it.directory.upstreams(service):
@@ -272,7 +274,7 @@
     deep = b'\x91' * 100_000 + b'\x90'
     head = msgspec.msgpack.encode([1, 62, 'x:1'])
     assert wire.decode(bytes((0, len(head))) + head + deep).is_error()
-    packed = messages.zlib.compress(deep, wbits=messages.RAW)
+    packed = messages.zlib.compress(deep, wbits=messages.RAW_DEFLATE)
     assert messages.unpack(packed) is None
     assert submissions.decode(b'p' + deep) is None
 
@@ -339,7 +341,7 @@
     """
 
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         app = web.Application()
         app.add_routes(node.routes())
         async with test_utils.TestClient(test_utils.TestServer(app)) as client:
@@ -364,7 +366,7 @@
 
     def _steps(it):
         it.put('h1', 1)
-        incarnation = messages.first(1) + 5
+        incarnation = messages.first_incarnation(1) + 5
         assert not it.table.hear('h1', state, incarnation)
         assert it.table.entries['h1'].state == messages.ALIVE
 
@@ -387,14 +389,14 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 2)
+        nodes = await membership_tests.start_fleet(network, 2)
         told = await nodes[0].transport.call(
             nodes[1].identity.peer, messages.Offer(data), 1.0
         )
         assert told.ok == messages.Wanted(())
-        whole.announce(nodes[0], 'a')
+        membership_tests.announce(nodes[0], 'a')
         await asyncio.sleep(1)
-        assert whole.states(nodes[1]) == {'a': 'up'}
-        return nodes[1].flood.refused
+        assert membership_tests.upstream_states(nodes[1]) == {'a': 'up'}
+        return nodes[1].flooder.malformed_offers
 
     assert fakes.run(_run()) == (0 if data.endswith(b'more') else 1)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -9,7 +9,7 @@
 import pytest
 
 from carawaystair import interfaces
-from carawaystair.membership import aging
+from carawaystair.membership import expiry
 from carawaystair.membership import messages
 from carawaystair.membership import registry
 from carawaystair.membership import service
@@ -18,7 +18,9 @@
 from test import fakes
 
 
-def make(network, number, seeds=(0, 1), incarnation=1, centres=4, **settings):
+def make_node(
+    network, number, seeds=(0, 1), incarnation=1, centres=4, **settings
+):
     """Return the membership of one made-up process."""
     member = fakes.member(number, centres)
     transport = network.transport(member.peer)
@@ -40,9 +42,9 @@
     )
 
 
-async def fleet(network, size, settle_s=3.0, **settings):
+async def start_fleet(network, size, settle_s=3.0, **settings):
     """Start ``size`` processes that join through two seeds."""
-    nodes = [make(network, number, **settings) for number in range(size)]
+    nodes = [make_node(network, number, **settings) for number in range(size)]
     for node in nodes:
         await node.start()
     await asyncio.sleep(settle_s)
@@ -50,7 +52,7 @@
     return nodes
 
 
-def vanish(network, node):
+def crash(network, node):
     """Let the process of a node end without a word."""
     mine = [node.identity.peer]
     others = [address for address in network.ends if address not in mine]
@@ -67,35 +69,37 @@
     return node.registry.announce(name, said, 1)
 
 
-def states(node, service='stock'):
+def upstream_states(node, service='stock'):
     """Return what a node knows of the upstreams of a service."""
     return {u.id: u.state for u in node.directory.upstreams(service)}
 
 
-def hosts(node):
+def alive_hosts(node):
     """Return the hosts that a node believes alive."""
     return {member.host for member in node.members.alive()}
 
 
-def kinds(node):
+def event_kinds(node):
     """Return the kinds of events that a node recorded."""
     return [event.kind for event in node.timeline.ring]
 
 
 def test_join_announce_drain_and_leave():
     async def _run():
-        nodes = await fleet(fakes.Network(), 4)
+        nodes = await start_fleet(fakes.Network(), 4)
         announce(nodes[1], 'a')
         await asyncio.sleep(0.5)
-        assert [states(node) for node in nodes] == [{'a': 'up'}] * 4
+        assert [upstream_states(node) for node in nodes] == [{'a': 'up'}] * 4
         announce(nodes[1], 'a', 'draining')
         await asyncio.sleep(0.1)
-        assert [states(node) for node in nodes] == [{'a': 'draining'}] * 4
+        assert [upstream_states(node) for node in nodes] == [
+            {'a': 'draining'}
+        ] * 4
         nodes[1].registry.remove('a')
         await asyncio.sleep(0.1)
-        assert [states(node) for node in nodes] == [{}] * 4
+        assert [upstream_states(node) for node in nodes] == [{}] * 4
         wanted = ['upstream-up', 'upstream-draining', 'upstream-gone']
-        assert [k for k in kinds(nodes[1]) if k in wanted] == wanted
+        assert [k for k in event_kinds(nodes[1]) if k in wanted] == wanted
 
     fakes.run(_run())
 
@@ -109,14 +113,14 @@
     """
 
     async def _run():
-        nodes = await fleet(fakes.Network(loss=0.2), 6, settle_s=10)
+        nodes = await start_fleet(fakes.Network(loss=0.2), 6, settle_s=10)
         announce(nodes[5], 'a')
         await asyncio.sleep(1)
         await nodes[5].stop()
         await asyncio.sleep(0.1)
-        assert all(states(node) == {} for node in nodes[:5])
-        assert all(len(hosts(node)) == 5 for node in nodes[:5])
-        assert 'member-dead' not in kinds(nodes[0])
+        assert all(upstream_states(node) == {} for node in nodes[:5])
+        assert all(len(alive_hosts(node)) == 5 for node in nodes[:5])
+        assert 'member-dead' not in event_kinds(nodes[0])
 
     fakes.run(_run())
 
@@ -130,14 +134,14 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 4)
-        vanish(network, nodes[0])
-        late = make(network, 4)
+        nodes = await start_fleet(network, 4)
+        crash(network, nodes[0])
+        late = make_node(network, 4)
         await late.start()
         await asyncio.sleep(15)
-        assert hosts(late) == {node.members.me.host for node in nodes[1:]} | {
-            late.members.me.host
-        }
+        assert alive_hosts(late) == {
+            node.members.me.host for node in nodes[1:]
+        } | {late.members.me.host}
 
     fakes.run(_run())
 
@@ -152,19 +156,19 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 5)
+        nodes = await start_fleet(network, 5)
         announce(nodes[4], 'a')
         await asyncio.sleep(1)
         others = [node.identity.peer for node in nodes[:4]]
         network.cut([nodes[4].identity.peer], others)
         await asyncio.sleep(10)
-        assert all(states(node) == {} for node in nodes[:4])
-        assert 'member-dead' in kinds(nodes[0])
+        assert all(upstream_states(node) == {} for node in nodes[:4])
+        assert 'member-dead' in event_kinds(nodes[0])
         version = nodes[4].table.me.record.version
         network.heal()
         await asyncio.sleep(6)
-        assert all(states(node) == {'a': 'up'} for node in nodes)
-        assert 'member-back' in kinds(nodes[0])
+        assert all(upstream_states(node) == {'a': 'up'} for node in nodes)
+        assert 'member-back' in event_kinds(nodes[0])
         assert nodes[4].table.me.record.version == version
 
     fakes.run(_run())
@@ -180,19 +184,21 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 4, incarnation=1000)
+        nodes = await start_fleet(network, 4, incarnation=1000)
         announce(nodes[3], 'old')
         await asyncio.sleep(1)
-        vanish(network, nodes[3])
+        crash(network, nodes[3])
         await nodes[3].stop()
         network.heal()
-        again = make(network, 3, incarnation=10)
+        again = make_node(network, 3, incarnation=10)
         await again.start()
         announce(again, 'new')
         await asyncio.sleep(5)
         everybody = [*nodes[:3], again]
-        assert all(states(node) == {'new': 'up'} for node in everybody)
-        assert all(len(hosts(node)) == 4 for node in everybody)
+        assert all(
+            upstream_states(node) == {'new': 'up'} for node in everybody
+        )
+        assert all(len(alive_hosts(node)) == 4 for node in everybody)
 
     fakes.run(_run())
 
@@ -207,10 +213,10 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 4)
-        vanish(network, nodes[3])
+        nodes = await start_fleet(network, 4)
+        crash(network, nodes[3])
         network.heal()
-        other = make(network, 3)
+        other = make_node(network, 3)
         other.identity = other.identity._replace(host='host-new')
         other = service.Membership(
             other.identity,
@@ -224,7 +230,7 @@
         await other.start()
         await asyncio.sleep(8)
         wanted = {'host-000', 'host-001', 'host-002', 'host-new'}
-        assert all(hosts(node) == wanted for node in [*nodes[:3], other])
+        assert all(alive_hosts(node) == wanted for node in [*nodes[:3], other])
 
     fakes.run(_run())
 
@@ -239,7 +245,7 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 5)
+        nodes = await start_fleet(network, 5)
         announce(nodes[4], 'a')
         await asyncio.sleep(1)
         frozen = nodes[3]
@@ -247,25 +253,25 @@
         await nodes[4].stop()
         for node in nodes[:3]:
             node.table.forget('host-004')
-        assert states(frozen) == {'a': 'up'}
-        frozen.prober.suspicions.stood_still[0](7200.0)
+        assert upstream_states(frozen) == {'a': 'up'}
+        frozen.prober.suspicions.pause_listeners[0](7200.0)
         frozen.transport.handlers = kept
-        assert states(frozen) == {}
+        assert upstream_states(frozen) == {}
         await asyncio.sleep(10)
-        assert all(states(node) == {} for node in nodes[:4])
-        assert all(len(hosts(node)) == 4 for node in nodes[:4])
+        assert all(upstream_states(node) == {} for node in nodes[:4])
+        assert all(len(alive_hosts(node)) == 4 for node in nodes[:4])
 
     fakes.run(_run())
 
 
 def test_forgetting_is_bounded_both_ways(monkeypatch):
-    monkeypatch.setattr(aging, 'LEFT_S', 60.0)
+    monkeypatch.setattr(expiry, 'LEFT_S', 60.0)
 
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 4)
+        nodes = await start_fleet(network, 4)
         await nodes[3].stop()
-        vanish(network, nodes[2])
+        crash(network, nodes[2])
         await asyncio.sleep(55)
         assert nodes[0].table.entries['host-003'].state == messages.LEFT
         await asyncio.sleep(20)
@@ -278,12 +284,12 @@
 def test_members_tell_who_comes_and_goes():
     async def _run():
         network = fakes.Network()
-        nodes = await fleet(network, 3)
+        nodes = await start_fleet(network, 3)
         seen = []
         nodes[0].members.subscribe(lambda m, up: seen.append((m.host, up)))
-        vanish(network, nodes[2])
+        crash(network, nodes[2])
         await asyncio.sleep(10)
-        late = make(network, 7)
+        late = make_node(network, 7)
         await late.start()
         await asyncio.sleep(3)
         assert seen == [('host-002', False), ('host-007', True)]
@@ -302,9 +308,9 @@
 
     async def scenario():
         network = fakes.Network()
-        nodes = await fleet(network, 5)
+        nodes = await start_fleet(network, 5)
         for node in nodes[1:]:
-            vanish(network, node)
+            crash(network, node)
         loop = asyncio.get_running_loop()
         began = loop.time()
         nodes[0].leave_by = began + left_s
--- a/test/test_membership_leaving.py
+++ b/test/test_membership_leaving.py
@@ -7,7 +7,7 @@
 
 from carawaystair.membership import messages
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 pytest_bdd.scenarios('leaving.feature')
 
@@ -34,7 +34,11 @@
     def up(self):
         """Return the other nodes that list the upstream as up."""
         others = [n for n in self.nodes if n is not self.nodes[OWNER]]
-        return [n for n in others if whole.states(n).get('a') == 'up']
+        return [
+            n
+            for n in others
+            if membership_tests.upstream_states(n).get('a') == 'up'
+        ]
 
 
 @pytest.fixture
@@ -47,7 +51,7 @@
 
 @pytest_bdd.given('a fleet of 20 nodes without any control host')
 def _fleet(world):
-    world.nodes = world.run(whole.fleet(world.network, 20))
+    world.nodes = world.run(membership_tests.start_fleet(world.network, 20))
 
 
 @pytest_bdd.given(
@@ -55,7 +59,7 @@
 )
 def _upstream(world):
     async def _run():
-        whole.announce(world.nodes[OWNER], 'a')
+        membership_tests.announce(world.nodes[OWNER], 'a')
         await asyncio.sleep(1)
 
     world.run(_run())
@@ -75,7 +79,7 @@
 @pytest_bdd.when('the upstream drains')
 def _drains(world):
     async def _run():
-        whole.announce(world.nodes[OWNER], 'a', 'draining')
+        membership_tests.announce(world.nodes[OWNER], 'a', 'draining')
 
     world.run(_run())
 
@@ -114,7 +118,7 @@
 @pytest_bdd.when('the host of the upstream vanishes')
 def _vanishes(world):
     async def _run():
-        whole.vanish(world.network, world.nodes[OWNER])
+        membership_tests.crash(world.network, world.nodes[OWNER])
 
     world.run(_run())
 
--- a/test/test_membership_liveness.py
+++ b/test/test_membership_liveness.py
@@ -6,11 +6,11 @@
 import pytest
 
 from carawaystair.membership import messages
-from carawaystair.membership import news
+from carawaystair.membership import news_queue
 from carawaystair.membership import suspicion
 from carawaystair.membership import table as tables
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 from test import test_membership_spread as spread
 
 
@@ -42,7 +42,7 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         mute, rest = nodes[3], nodes[:3] + nodes[4:]
         network.cut(addresses([mute]), addresses(rest), both=False)
         await asyncio.sleep(6)
@@ -64,16 +64,21 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         deaf, rest = nodes[3], nodes[:3] + nodes[4:]
         network.cut(addresses(rest), addresses([deaf]), both=False)
         await asyncio.sleep(30)
         assert believed(rest, 'host-003') == [messages.DEAD] * 7
-        told = [whole.kinds(node).count('member-dead') for node in rest]
+        told = [
+            membership_tests.event_kinds(node).count('member-dead')
+            for node in rest
+        ]
         assert told == [1] * 7
         network.heal()
         await asyncio.sleep(8)
-        assert all(len(whole.hosts(node)) == 8 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 8 for node in nodes
+        )
 
     fakes.run(_run())
 
@@ -87,16 +92,16 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         one, two = addresses(nodes[1:3])
         network.cut([one], [two], both=False)
         await asyncio.sleep(30)
         network.cut([one], [two])
-        whole.announce(nodes[1], 'a')
+        membership_tests.announce(nodes[1], 'a')
         await asyncio.sleep(30)
         for node in nodes:
-            assert 'member-suspected' not in whole.kinds(node)
-        assert whole.states(nodes[2]) == {'a': 'up'}
+            assert 'member-suspected' not in membership_tests.event_kinds(node)
+        assert membership_tests.upstream_states(nodes[2]) == {'a': 'up'}
 
     fakes.run(_run())
 
@@ -111,17 +116,21 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 12)
+        nodes = await membership_tests.start_fleet(network, 12)
         left, right = nodes[:6], nodes[6:]
         network.cut(addresses(left), addresses(right), both=False)
         await asyncio.sleep(60)
-        assert all(len(whole.hosts(node)) == 6 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 6 for node in nodes
+        )
         for side, other in ((left, right), (right, left)):
             wanted = {node.identity.host for node in other}
             assert all(buried(node) == wanted for node in side)
         network.heal()
         await asyncio.sleep(20)
-        assert all(len(whole.hosts(node)) == 12 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 12 for node in nodes
+        )
 
     fakes.run(_run())
 
@@ -136,14 +145,16 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 10)
+        nodes = await membership_tests.start_fleet(network, 10)
         rest = nodes[:9]
         network.cut(addresses(nodes[9:]), addresses(rest))
         await asyncio.sleep(60)
-        assert len(whole.hosts(nodes[9])) == 1
+        assert len(membership_tests.alive_hosts(nodes[9])) == 1
         network.heal()
         await asyncio.sleep(15)
-        assert all(len(whole.hosts(node)) == 10 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 10 for node in nodes
+        )
         assert [node.refutations for node in rest] == [0] * 9
         assert all(buried(node) == {'host-009'} for node in rest)
 
@@ -171,14 +182,18 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
+        nodes = await membership_tests.start_fleet(network, 6)
         network.cut(addresses(nodes[5:]), addresses(nodes[:5]))
-        while 'member-suspected' not in whole.kinds(nodes[0]):
+        while 'member-suspected' not in membership_tests.event_kinds(nodes[0]):
             await asyncio.sleep(0.05)
         network.heal()
         await stand_still(network, 20.0)
         await asyncio.sleep(5)
-        events = [kind for node in nodes for kind in whole.kinds(node)]
+        events = [
+            kind
+            for node in nodes
+            for kind in membership_tests.event_kinds(node)
+        ]
         assert 'member-dead' not in events
 
     fakes.run(_run())
@@ -194,7 +209,7 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 20)
+        nodes = await membership_tests.start_fleet(network, 20)
         for number in range(8):
             entry = nodes[number].table.entries['host-%03d' % (number + 9)]
             incarnation = entry.member.incarnation
@@ -202,7 +217,9 @@
                 entry.member.host, messages.DEAD, incarnation
             )
         await asyncio.sleep(25)
-        assert all(len(whole.hosts(node)) == 20 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 20 for node in nodes
+        )
 
     fakes.run(_run())
 
@@ -212,7 +229,7 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 3)
+        nodes = await membership_tests.start_fleet(network, 3)
         entry = nodes[0].table.entries['host-002']
         assert await nodes[0].prober.reach(entry, 0.2)
         await nodes[2].leave()
@@ -226,14 +243,16 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 3)
+        nodes = await membership_tests.start_fleet(network, 3)
         old = nodes[2].table.me.record
         nodes[2].left = True
         nodes[2].sequence += 1
         nodes[2].table.own(nodes[2]._record(), nodes[2]._liveness())
         assert nodes[0].table.entries['host-002'].record == old
         # It has nobody alive to tell of, itself included.
-        await nodes[0].sync.compare(messages.RECORDS, nodes[2].identity.peer)
+        await nodes[0].anti_entropy.compare(
+            messages.RECORDS, nodes[2].identity.peer
+        )
         assert nodes[0].table.entries['host-002'].state == messages.LEFT
 
     fakes.run(_run())
@@ -248,9 +267,9 @@
     """
 
     async def _run():
-        nodes = await whole.fleet(fakes.Network(), 3)
+        nodes = await membership_tests.start_fleet(fakes.Network(), 3)
         table, gossip = nodes[0].table, nodes[0].gossip
-        first = messages.first(1)
+        first = messages.first_incarnation(1)
         said = messages.News('host-002', messages.SUSPECT, first, 'host-001')
         own = messages.News('host-000', messages.SUSPECT, first, 'host-001')
         table.hear('host-001', messages.DEAD, first)
@@ -275,14 +294,14 @@
 def test_the_last_probe_decides(reached, isolated, state, refutable):
     async def _run():
         table = tables.Table('me')
-        table.put(spread.record('a'))
+        table.put(spread.make_record('a'))
 
         async def _reach(_entry):
             return reached
 
         suspicions = suspicion.Suspicions(
             table,
-            news.Queue(lambda: 2),
+            news_queue.Queue(lambda: 2),
             0.5,
             lambda since: isolated,
             _reach,
@@ -311,27 +330,33 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 16)
+        nodes = await membership_tests.start_fleet(network, 16)
         for node in nodes:
             # Seeds would do as well; here the probes of the dead must.
             node.joining.seeds = ()
         left, right = nodes[:8], nodes[8:]
-        whole.announce(nodes[3], 'before')
+        membership_tests.announce(nodes[3], 'before')
         network.cut(addresses(left), addresses(right))
         await asyncio.sleep(60)
-        assert all(len(whole.hosts(node)) == 8 for node in nodes)
-        assert whole.states(nodes[2]) == {'before': 'up'}
-        assert whole.states(nodes[12]) == {}
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 8 for node in nodes
+        )
+        assert membership_tests.upstream_states(nodes[2]) == {'before': 'up'}
+        assert membership_tests.upstream_states(nodes[12]) == {}
         nodes[3].registry.remove('before')
-        whole.announce(nodes[4], 'left')
-        whole.announce(nodes[12], 'right')
+        membership_tests.announce(nodes[4], 'left')
+        membership_tests.announce(nodes[12], 'right')
         await asyncio.sleep(10)
         network.heal()
         before = network.carried
         await asyncio.sleep(20)
-        assert all(len(whole.hosts(node)) == 16 for node in nodes)
+        assert all(
+            len(membership_tests.alive_hosts(node)) == 16 for node in nodes
+        )
         wanted = {'left': 'up', 'right': 'up'}
-        assert all(whole.states(node) == wanted for node in nodes)
+        assert all(
+            membership_tests.upstream_states(node) == wanted for node in nodes
+        )
         # The rate stays within a small multiple of that of a quiet fleet.
         assert (network.carried - before) / 16 / 20 < 30
 
@@ -341,10 +366,10 @@
 def test_one_dead_host_is_not_probed_by_everybody_all_the_time():
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 20)
-        whole.vanish(network, nodes[19])
+        nodes = await membership_tests.start_fleet(network, 20)
+        membership_tests.crash(network, nodes[19])
         await asyncio.sleep(8)
-        chosen = [nodes[0].revival.choose() for _time in range(1000)]
+        chosen = [nodes[0].dead_prober.choose() for _time in range(1000)]
         assert 20 < chosen.count('host-019') < 120
 
     fakes.run(_run())
@@ -366,7 +391,7 @@
     missed = 0
     for seed in range(200):
         rng = random.Random(seed)
-        queues = {n: news.Queue(lambda: 5) for n in range(4)}
+        queues = {n: news_queue.Queue(lambda: 5) for n in range(4)}
         said = messages.News('h4', messages.DEAD, 1)
         queues[0].add(said)
         heard = {0}
@@ -383,7 +408,7 @@
 
 
 def test_news_is_sent_a_bounded_number_of_times():
-    queue = news.Queue(lambda: 100)
+    queue = news_queue.Queue(lambda: 100)
     queue.add(messages.News('a', messages.SUSPECT, 1, 'x'))
     queue.add(messages.News('a', messages.SUSPECT, 1, 'y'))
     assert len(queue.pick()) == 2
@@ -394,12 +419,12 @@
 
 
 def test_a_flood_of_news_fits_a_datagram_and_the_memory():
-    queue = news.Queue(lambda: 2500)
-    for number in range(3 * news.MAX_HOSTS):
+    queue = news_queue.Queue(lambda: 2500)
+    for number in range(3 * news_queue.MAX_HOSTS):
         host = 'host-with-a-name-%05d' % number
         queue.add(messages.News(host, messages.DEAD, 1 << 41))
-    assert len(queue.items) == news.MAX_HOSTS
+    assert len(queue.items) == news_queue.MAX_HOSTS
     picked = queue.pick()
-    assert 10 < len(picked) <= news.MAX_PICKED
+    assert 10 < len(picked) <= news_queue.MAX_PICKED
     # What was sent least goes first.
     assert not set(queue.pick()) & set(picked)
--- a/test/test_membership_registry.py
+++ b/test/test_membership_registry.py
@@ -11,7 +11,7 @@
 from carawaystair.membership import service
 from soak import entries
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 SAID = registries.Announcement('stock', '127.0.0.1:9000', 4)
 
@@ -137,7 +137,7 @@
 
 def test_the_local_interface():
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         await node.start()
         app = web.Application()
         app.add_routes(node.routes())
@@ -182,7 +182,7 @@
     """
 
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         await node.start()
         node.registry.announce('a', SAID, 5)
         before = node.registry.rows()
--- a/test/test_membership_spread.py
+++ b/test/test_membership_spread.py
@@ -6,15 +6,15 @@
 import pytest
 
 from carawaystair.membership import digest
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
-from carawaystair.membership import ring
+from carawaystair.membership import overlay
 from carawaystair.membership import table as tables
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 
-def record(host, incarnation=1, sequence=0, upstreams=(), left=False):
+def make_record(host, incarnation=1, sequence=0, upstreams=(), left=False):
     """Return a made-up record."""
     address = '127.0.0.1:1'
     body = messages.Body('dc', 'region', address, address, False, upstreams)
@@ -22,7 +22,7 @@
     return messages.Record(host, incarnation, sequence, left, packed)
 
 
-async def until(condition, limit_s):
+async def wait_until(condition, limit_s):
     """Wait for a condition; return the seconds that it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -42,19 +42,22 @@
 
     async def _run():
         network = fakes.Network(seed=5)
-        nodes = await whole.fleet(network, 104, settle_s=4)
+        nodes = await membership_tests.start_fleet(network, 104, settle_s=4)
         for number in range(5):
-            whole.announce(nodes[number * 20], 'u%d' % number)
+            membership_tests.announce(nodes[number * 20], 'u%d' % number)
         await asyncio.sleep(2)
-        assert all(len(whole.states(node)) == 5 for node in nodes)
+        assert all(
+            len(membership_tests.upstream_states(node)) == 5 for node in nodes
+        )
         network.loss = 0.2
         for number in range(5):
             owner = nodes[number * 20]
-            whole.announce(owner, 'u%d' % number, 'draining')
+            membership_tests.announce(owner, 'u%d' % number, 'draining')
             name = 'u%d' % number
-            await until(
+            await wait_until(
                 lambda name=name: all(
-                    whole.states(node).get(name) == 'draining'
+                    membership_tests.upstream_states(node).get(name)
+                    == 'draining'
                     for node in nodes
                 ),
                 2.0,
@@ -75,7 +78,7 @@
     async def _run():
         rng = random.Random(seed)
         network = fakes.Network(seed, 0.2, 0.1, (0.0005, 0.05))
-        nodes = await whole.fleet(network, 10, settle_s=15)
+        nodes = await membership_tests.start_fleet(network, 10, settle_s=15)
         left, listed, returned = set(), {}, []
 
         def _seen(node, item):
@@ -95,7 +98,7 @@
                 left.add(name)
             else:
                 name = 'u%d' % step
-                whole.announce(owner, name)
+                membership_tests.announce(owner, name)
                 listed[name] = owner
             if rng.random() < 0.1:
                 pair = [n.identity.peer for n in rng.sample(nodes, 2)]
@@ -106,7 +109,9 @@
         await asyncio.sleep(40)
         assert returned == []
         wanted = dict.fromkeys(listed, 'up')
-        assert all(whole.states(node) == wanted for node in nodes)
+        assert all(
+            membership_tests.upstream_states(node) == wanted for node in nodes
+        )
         totals = {node.prober.digests() for node in nodes}
         assert len(totals) == 1
 
@@ -123,17 +128,17 @@
 
     async def _run():
         table = tables.Table('me')
-        old, new = record('a', 1, 1), record('a', 1, 2, left=True)
+        old, new = make_record('a', 1, 1), make_record('a', 1, 2, left=True)
         assert table.put(new)
         assert not table.put(old)
         assert table.entries['a'].state == messages.LEFT
         assert not table.hear('a', messages.ALIVE, 1)
-        assert table.put(record('a', 2, 0))
+        assert table.put(make_record('a', 2, 0))
         outdated = []
         table.outdated = outdated.append
-        table.own(record('me', 5, 3), messages.first(5))
-        assert not table.put(record('me', 5, 3))
-        assert not table.put(record('me', 7, 0))
+        table.own(make_record('me', 5, 3), messages.first_incarnation(5))
+        assert not table.put(make_record('me', 5, 3))
+        assert not table.put(make_record('me', 7, 0))
         assert outdated == [7]
 
     fakes.run(_run())
@@ -148,20 +153,20 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         await asyncio.sleep(5)
         nodes[5].table.put, put = lambda record: False, nodes[5].table.put
-        whole.announce(nodes[1], 'a')
+        membership_tests.announce(nodes[1], 'a')
         await asyncio.sleep(1)
         nodes[5].table.put = put
-        assert whole.states(nodes[5]) == {}
+        assert membership_tests.upstream_states(nodes[5]) == {}
         await asyncio.sleep(6)
-        assert whole.states(nodes[5]) == {'a': 'up'}
+        assert membership_tests.upstream_states(nodes[5]) == {'a': 'up'}
         await asyncio.sleep(5)
-        rounds = [node.sync.rounds for node in nodes]
+        rounds = [node.anti_entropy.rounds for node in nodes]
         await asyncio.sleep(30)
         # A fleet that agrees compares digests in its probes only.
-        assert [node.sync.rounds for node in nodes] == rounds
+        assert [node.anti_entropy.rounds for node in nodes] == rounds
 
     fakes.run(_run())
 
@@ -175,14 +180,19 @@
 
     async def _run():
         network = fakes.Network(seed=2)
-        nodes = await whole.fleet(network, 2)
+        nodes = await membership_tests.start_fleet(network, 2)
         for node in nodes:
             node.prober.compared.clear()
         network.loss = 0.3
         for number in range(10):
             name = 'u%d' % number
-            whole.announce(nodes[1], name)
-            await until(lambda name=name: name in whole.states(nodes[0]), 6)
+            membership_tests.announce(nodes[1], name)
+            await wait_until(
+                lambda name=name: (
+                    name in membership_tests.upstream_states(nodes[0])
+                ),
+                6,
+            )
 
     fakes.run(_run())
 
@@ -198,19 +208,27 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 30)
+        nodes = await membership_tests.start_fleet(network, 30)
         await asyncio.sleep(5)
         before = network.carried
-        back = [whole.make(network, number) for number in range(30, 40)]
+        back = [
+            membership_tests.make_node(network, number)
+            for number in range(30, 40)
+        ]
         for node in back:
             await node.start()
         for number in range(100):
             for node in back:
-                whole.announce(node, '%s-%d' % (node.identity.host, number))
+                membership_tests.announce(
+                    node, '%s-%d' % (node.identity.host, number)
+                )
             await asyncio.sleep(0.01)
         everybody = nodes + back
-        await until(
-            lambda: all(len(whole.states(node)) == 1000 for node in everybody),
+        await wait_until(
+            lambda: all(
+                len(membership_tests.upstream_states(node)) == 1000
+                for node in everybody
+            ),
             10.0,
         )
         # A thousand announcements; each alone would be ten times as much.
@@ -222,21 +240,23 @@
 def test_a_batch_is_bounded_and_a_waiting_record_is_the_newest():
     async def _run():
         table = tables.Table('me')
-        flood = floods.Flood(table, fakes.Network().transport('127.0.0.1:1'))
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(
+            table, fakes.Network().transport('127.0.0.1:1')
+        )
+        feed = flooding.Feed('127.0.0.1:2')
         rng = random.Random(1)
         for number in range(1000):
             rows = (messages.Row(rng.randbytes(200).hex(), 's', '', *[1] * 6),)
-            table.put(record('h%d' % number, 1, 0, rows))
+            table.put(make_record('h%d' % number, 1, 0, rows))
             feed.add('h%d' % number)
-        table.put(record('h0', 1, 1))
+        table.put(make_record('h0', 1, 1))
         sizes = []
         while feed.waiting:
-            batch = flood._batch(feed)
+            batch = flooder._batch(feed)
             sizes.append(sum(len(r.body) for r in batch))
             if len(sizes) == 1:
                 assert batch[0].version == (1, 1)
-        assert max(sizes) < floods.BATCH_BYTES + 1000
+        assert max(sizes) < flooding.BATCH_BYTES + 1000
         assert len(sizes) > 5
 
     fakes.run(_run())
@@ -248,23 +268,23 @@
     async def _run():
         loop = asyncio.get_running_loop()
         transport = fakes.Network().transport('127.0.0.1:1')
-        flood = floods.Flood(tables.Table('me'), transport)
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(tables.Table('me'), transport)
+        feed = flooding.Feed('127.0.0.1:2')
         began = loop.time()
-        gathering = asyncio.ensure_future(flood._gather(feed))
-        await asyncio.sleep(floods.OFFER_GAP_S / 8)
+        gathering = asyncio.ensure_future(flooder._gather(feed))
+        await asyncio.sleep(flooding.OFFER_GAP_S / 8)
         feed.add('others', False)
-        await asyncio.sleep(floods.OFFER_GAP_S / 8)
+        await asyncio.sleep(flooding.OFFER_GAP_S / 8)
         assert not gathering.done()
         feed.add('leaver')
         await gathering
         taken_s = loop.time() - began
-        assert taken_s == pytest.approx(floods.OFFER_GAP_S / 4)
+        assert taken_s == pytest.approx(flooding.OFFER_GAP_S / 4)
         # What was urgent before has been sent; the next offers gather again.
         feed.waiting.clear()
         began = loop.time()
-        await flood._gather(feed)
-        assert loop.time() - began >= floods.OFFER_GAP_S
+        await flooder._gather(feed)
+        assert loop.time() - began >= flooding.OFFER_GAP_S
 
     fakes.run(_run())
 
@@ -278,17 +298,17 @@
 
         monkeypatch.setattr(asyncio, 'sleep', _poll)
         transport = fakes.Network().transport('127.0.0.1:1')
-        flood = floods.Flood(tables.Table('me'), transport)
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(tables.Table('me'), transport)
+        feed = flooding.Feed('127.0.0.1:2')
         loop = asyncio.get_running_loop()
         lasted = []
         for urgent in (False, True):
             began = loop.time()
-            loop.call_later(floods.OFFER_GAP_S / 4, feed.add, 'h', urgent)
-            await flood._gather(feed)
+            loop.call_later(flooding.OFFER_GAP_S / 4, feed.add, 'h', urgent)
+            await flooder._gather(feed)
             lasted.append(loop.time() - began)
         assert lasted == pytest.approx(
-            [floods.OFFER_GAP_S, floods.OFFER_GAP_S / 4]
+            [flooding.OFFER_GAP_S, flooding.OFFER_GAP_S / 4]
         )
 
     fakes.run(_run())
@@ -299,14 +319,17 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
+        nodes = await membership_tests.start_fleet(network, 6)
         for node in nodes[3:]:
             node.transport.handlers.pop(messages.Offer)
         for node in nodes:
             node.prober.compared.clear()
-        whole.announce(nodes[1], 'a')
-        await until(
-            lambda: all(whole.states(node) == {'a': 'up'} for node in nodes),
+        membership_tests.announce(nodes[1], 'a')
+        await wait_until(
+            lambda: all(
+                membership_tests.upstream_states(node) == {'a': 'up'}
+                for node in nodes
+            ),
             2.0,
         )
 
@@ -323,21 +346,26 @@
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
-        whole.announce(nodes[1], 'a')
+        nodes = await membership_tests.start_fleet(network, 6)
+        membership_tests.announce(nodes[1], 'a')
         await asyncio.sleep(1)
         nodes[4].directory.using('stock')
         await asyncio.sleep(2)
-        assert len(nodes[1].interest.senders) == 1
+        assert len(nodes[1].direct_push.senders) == 1
         for node in nodes:
             node.transport.handlers.pop(messages.Batch)
             node.prober.compared.clear()
         network.loss = 0.4
         for number in range(6):
             name = 'u%d' % number
-            whole.announce(nodes[1], name, 'draining')
-            await until(lambda name=name: name in whole.states(nodes[4]), 1.5)
-        assert whole.states(nodes[3]) == {'a': 'up'}
+            membership_tests.announce(nodes[1], name, 'draining')
+            await wait_until(
+                lambda name=name: (
+                    name in membership_tests.upstream_states(nodes[4])
+                ),
+                1.5,
+            )
+        assert membership_tests.upstream_states(nodes[3]) == {'a': 'up'}
 
     fakes.run(_run())
 
@@ -354,20 +382,22 @@
 
 def test_the_overlay_links_everybody_in_few_hops():
     names = {'h%d' % number: 'dc' for number in range(500)}
-    links = {name: ring.neighbours(name, names) for name in names}
+    links = {name: overlay.neighbours(name, names) for name in names}
     assert max(len(found) for found in links.values()) == 7
     hops, reached = reach(links, 'h0')
     assert reached == 500
     assert hops <= 12
-    assert ring.neighbours('a', {'a': 'dc'}) == ()
-    assert set(ring.neighbours('a', dict.fromkeys('abc', 'dc'))) == set('bc')
+    assert overlay.neighbours('a', {'a': 'dc'}) == ()
+    assert set(overlay.neighbours('a', dict.fromkeys('abc', 'dc'))) == set(
+        'bc'
+    )
 
 
 @pytest.mark.parametrize('centres', [2, 6, 30])
 def test_few_edges_of_the_overlay_leave_a_data_centre(centres):
     """Guards against records that cross between data centres host by host."""
     names = {'h%d' % n: 'dc%d' % (n % centres) for n in range(240)}
-    links = {name: ring.neighbours(name, names) for name in names}
+    links = {name: overlay.neighbours(name, names) for name in names}
     far = [
         (name, other)
         for name, found in links.items()
@@ -375,8 +405,8 @@
         if names[name] != names[other]
     ]
     alone = {'c%d' % n: '' for n in range(centres)}
-    towards = len(ring.neighbours('c0', alone))
-    assert len(far) == centres * towards * ring.CENTRE_LINKS
+    towards = len(overlay.neighbours('c0', alone))
+    assert len(far) == centres * towards * overlay.LINKS_BETWEEN_CENTRES
     hops, reached = reach(links, 'h0')
     assert reached == 240
     assert hops <= 12
@@ -385,7 +415,7 @@
 def test_overlay_bears_the_loss_of_most_links_between_data_centres():
     """Guards against a data centre cut off until losses are noticed."""
     names = {'h%d' % n: 'dc%d' % (n % 2) for n in range(40)}
-    links = {name: ring.neighbours(name, names) for name in names}
+    links = {name: overlay.neighbours(name, names) for name in names}
     holders = [
         name
         for name, found in links.items()
--- a/test/test_membership_storm.py
+++ b/test/test_membership_storm.py
@@ -10,7 +10,7 @@
 from carawaystair.membership import messages
 from carawaystair import wire
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 HOSTS = 60
 CENTRES = 6
@@ -58,7 +58,9 @@
     """Start hosts within a second; each has an upstream soon after."""
     rng = random.Random(seed)
     nodes = [
-        whole.make(network, number, tuple(range(5)), centres=CENTRES)
+        membership_tests.make_node(
+            network, number, tuple(range(5)), centres=CENTRES
+        )
         for number in range(size)
     ]
     loop = asyncio.get_running_loop()
@@ -73,12 +75,15 @@
     await asyncio.sleep(after_s)
     await node.start()
     await asyncio.sleep(SERVING_S)
-    whole.announce(node, 'u-%s' % node.identity.host)
+    membership_tests.announce(node, 'u-%s' % node.identity.host)
 
 
 def suspicions(nodes):
     """Return how often a host was suspected, by all together."""
-    return sum(whole.kinds(node).count('member-suspected') for node in nodes)
+    return sum(
+        membership_tests.event_kinds(node).count('member-suspected')
+        for node in nodes
+    )
 
 
 def test_start_of_a_whole_fleet_does_not_fill_thin_links():
@@ -93,7 +98,10 @@
         traffic = observe(network, centres)
         nodes = await start_at_once(network, HOSTS)
         await asyncio.sleep(PLAYED_S - START_S - SERVING_S)
-        assert all(len(whole.states(node)) == HOSTS for node in nodes)
+        assert all(
+            len(membership_tests.upstream_states(node)) == HOSTS
+            for node in nodes
+        )
         assert suspicions(nodes) == 0
         sent = sum(traffic.bytes.values()) / HOSTS / PLAYED_S
         assert sent <= 30_000
@@ -114,10 +122,11 @@
         network.loss = loss
         for node in nodes[1:4]:
             name = 'u-%s' % node.identity.host
-            whole.announce(node, name, 'draining')
+            membership_tests.announce(node, name, 'draining')
             began = asyncio.get_running_loop().time()
             while not all(
-                whole.states(other).get(name, 'draining') == 'draining'
+                membership_tests.upstream_states(other).get(name, 'draining')
+                == 'draining'
                 for other in nodes
             ):
                 now = asyncio.get_running_loop().time()
--- a/test/test_platform_heartbeats.py
+++ b/test/test_platform_heartbeats.py
@@ -47,7 +47,7 @@
     def listed(self):
         """Return what the host announces."""
         return [
-            (row.id, row.incarnation, row.slots, row.warmup, row.state)
+            (row.id, row.incarnation, row.slots, row.warmup_ms, row.state)
             for row in self.registry.rows()
         ]
 
--- a/test/test_traffic.py
+++ b/test/test_traffic.py
@@ -4,16 +4,16 @@
 
 from carawaystair.membership import messages
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 
 def test_messages_are_counted_by_type_and_distance():
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         for node in nodes:
             node.transport.traffic.far = node.distance.far
-        whole.announce(nodes[0], 'a')
+        membership_tests.announce(nodes[0], 'a')
         await asyncio.sleep(1)
         one = nodes[0].transport.traffic
         asked = nodes[4].identity.peer
@@ -26,9 +26,11 @@
         assert one.bytes['Fetch', False] > 0
         names = {sample.name for sample in one.samples()}
         assert names == {'messages_sent_total', 'message_bytes_sent_total'}
-        return [(node.flood.received, node.flood.doubled) for node in nodes]
+        return [
+            (node.flooder.received, node.flooder.duplicates) for node in nodes
+        ]
 
     counted = fakes.run(_run())
-    received, doubled = map(sum, zip(*counted, strict=True))
+    received, duplicates = map(sum, zip(*counted, strict=True))
     assert received > 0
-    assert doubled < received
+    assert duplicates < received
