--- a/bench/exp_gossip.py
+++ b/bench/exp_gossip.py
@@ -366,9 +366,9 @@
     fleet = model.Virtual(size, seed)
     await fleet.start()
     fleet.network.loss = loss
-    rounds = [sum(n.prober.failed for n in fleet.nodes)]
+    rounds = [sum(n.prober.failed_probes for n in fleet.nodes)]
     await asyncio.sleep(seconds)
-    rounds.append(sum(n.prober.failed for n in fleet.nodes))
+    rounds.append(sum(n.prober.failed_probes for n in fleet.nodes))
     dead = {
         event.text
         for node in fleet.nodes
--- a/bench/gossip_model.py
+++ b/bench/gossip_model.py
@@ -284,7 +284,7 @@
     def _ping(self, sender: str, ping: messages.Ping) -> None:
         self.digests = ping.digests
         first = messages.first_incarnation(1)
-        ack = messages.Ack(ping.nonce, ping.to, first, ping.digests)
+        ack = messages.Ack(ping.nonce, ping.target, first, ping.digests)
         self.datagrams.send(sender, ack)
 
     async def _probe(self) -> None:
--- a/carawaystair/membership/anti_entropy.py
+++ b/carawaystair/membership/anti_entropy.py
@@ -1,10 +1,11 @@
-"""Anti-entropy: two processes that differ find out where and mend it.
-
-Every probe carries the digests of both ends, so that agreement costs no
-message of its own.  A process whose digests differ from another's for longer
-than a change takes to spread compares buckets with one of them, then the
-versions of the hosts in those that differ, and fetches what is newer there.
-A process that joins gets everything in this way, in paced pieces.
+"""Anti-entropy: reconciles the records and liveness of two processes.
+
+Every probe carries the digests of both ends, so that no extra message is sent
+while they agree.  When the digests differ for longer than a change takes to
+spread, a process compares bucket digests with the other process or with a
+neighbour, then the versions of the hosts in the buckets that differ, and
+fetches newer records.  A process that joins receives the whole state in this
+way, in rate-limited pieces.
 """
 
 import asyncio
@@ -24,59 +25,61 @@
 from carawaystair.membership import table as tables
 
 TIMEOUT_S = 1.0
-# Pause between comparisons, in seconds; doubles while they bring nothing.
-PAUSE_S = 1.0
-PAUSE_MAX_S = 8.0
-# A digest that changed less than this ago may just be ahead of the others.
+# Pause between comparisons, in seconds; it doubles while they find nothing
+# new.
+MIN_PAUSE_S = 1.0
+MAX_PAUSE_S = 8.0
+# A digest that changed within this time may only be ahead of the others.
 SETTLED_S = 1.0
-# In a fleet that changes all the time a digest may never settle; after so
-# long a difference is looked into all the same.
-PATIENCE_S = 5.0
-# Hosts in the answer to one comparison, as a bound.
+# In a fleet with constant changes a digest may never be settled; a difference
+# that has lasted this long is examined anyway.
+MAX_UNSETTLED_S = 5.0
+# Maximum number of hosts in the answer to one comparison, unless a single
+# bucket holds more.
 MAX_VERSIONS = 500
-# Comparisons in a row with one process.
+# Maximum number of consecutive comparisons with one process.
 MAX_ROUNDS = 2 * digest.BUCKETS
-# Records asked for at once, and the bytes a second that one process takes
-# from others and gives to all others.
-FETCH = 40
-TAKE_RATE = 512 * 1024
-GIVE_RATE = 512 * 1024
-# Share of comparisons made with the process that was seen to differ, not
-# with a neighbour in the overlay whose link is open already.
+# Records per Fetch, and the bytes per second that one process exchanges with
+# another on its own initiative, and serves to all others.
+MAX_FETCH_RECORDS = 40
+FETCH_BYTES_PER_S = 512 * 1024
+SERVE_BYTES_PER_S = 512 * 1024
+# Share of comparisons made with the process whose digest differed; the others
+# are made with a neighbour in the overlay, to which a link is open already.
 DIRECT_SHARE = 0.25
 
 
-class Allowance:
-    """Bytes that may be given to others, as a token bucket of one second.
+class ByteBudget:
+    """Limits the bytes served to others by a token bucket of one second.
 
-    When a data centre returns, hundreds of processes fetch at once.  One
-    that gave without bound would stop serving callers meanwhile.
+    When a data centre returns, hundreds of processes fetch records at once.
+    A process that served them without a limit could not serve its callers.
     """
 
-    def __init__(self, rate: int) -> None:
-        self.rate = rate
-        self.left = float(rate)
-        self.filled = clock.now()
+    def __init__(self, bytes_per_s: int) -> None:
+        self.bytes_per_s = bytes_per_s
+        self.available = float(bytes_per_s)
+        self.refilled_at = clock.now()
 
     def take(self, size: int) -> bool:
-        """Take ``size`` bytes, unless the bucket is empty."""
+        """Take ``size`` bytes; return False if the bucket is empty."""
         now = clock.now()
-        gained = (now - self.filled) * self.rate
-        self.left = min(self.left + gained, self.rate)
-        self.filled = now
-        if self.left <= 0:
+        gained = (now - self.refilled_at) * self.bytes_per_s
+        self.available = min(self.available + gained, self.bytes_per_s)
+        self.refilled_at = now
+        if self.available <= 0:
             return False
-        self.left -= size
+        self.available -= size
         return True
 
 
 class AntiEntropy(mode.Service):
-    """Compares with others and fetches what is newer there.
+    """Compares digests with other processes and fetches newer records.
 
     :param table: the table of hosts.
-    :param flooder: passes on what was fetched.
-    :param prober: tells the digests of others.
-    :param dead_prober: probes hosts that others believe alive.
+    :param flooder: accepts and forwards the fetched records.
+    :param prober: reports the digests of other processes.
+    :param dead_prober: probes dead hosts that others believe alive.
     :param transport: the messages of this process.
     :param rng: the source of randomness.
     """
@@ -97,112 +100,120 @@
         self.dead_prober = dead_prober
         self.transport = transport
         self.rng = rng
-        self.allowance = Allowance(GIVE_RATE)
-        # By kind, the hosts last seen to differ and since when one does.
-        self.differing: list[str] = ['', '']
-        self.since = [0.0, 0.0]
-        self.event = asyncio.Event()
-        # Set once this process agreed with another.
+        self.byte_budget = ByteBudget(SERVE_BYTES_PER_S)
+        # By kind of digest: the host last seen to differ, or an empty string,
+        # and the time since which there has been a difference.
+        self.differing_hosts: list[str] = ['', '']
+        self.differing_since = [0.0, 0.0]
+        self.difference_seen = asyncio.Event()
+        # Set once all digests matched those of another process.
         self.synced = asyncio.Event()
-        # Whether this process has compared with another one.
-        self.met = False
-        self.rounds = 0
-        prober.compared.append(self.compared)
-        transport.handle(messages.Compare, self._compare)
-        transport.handle(messages.Fetch, self._fetch)
-
-    def compared(self, host: str, theirs: messages.Digests) -> None:
-        """Take note of the digests of another process."""
+        # Whether a comparison with another process has succeeded.
+        self.has_compared = False
+        self.comparisons = 0
+        prober.digest_listeners.append(self.receive_digests)
+        transport.handle(messages.Compare, self._handle_compare)
+        transport.handle(messages.Fetch, self._handle_fetch)
+
+    def receive_digests(self, host: str, theirs: messages.Digests) -> None:
+        """Compare the digests received from another process."""
         equal = [
             their == self.table.digests[kind].total
             for kind, their in enumerate(theirs)
         ]
         for kind in (messages.RECORDS, messages.LIVENESS):
             if not equal[kind]:
-                self._differs(kind, host)
-            elif self.differing[kind] == host:
-                self.differing[kind] = ''
+                self._note_difference(kind, host)
+            elif self.differing_hosts[kind] == host:
+                self.differing_hosts[kind] = ''
         if all(equal):
             self.synced.set()
 
-    def _differs(self, kind: int, host: str) -> None:
-        """Note a difference; that others agree doesn't make it void.
+    def _note_difference(self, kind: int, host: str) -> None:
+        """Record a difference, which agreement with others doesn't clear.
 
-        Where most processes agree and a few lag behind, the next probe
-        nearly always shows agreement, and those few would never be met.
+        If most processes agree and a few lag behind, the next probe nearly
+        always shows agreement, and the few would never be reconciled.
         """
-        if not self.differing[kind]:
-            self.since[kind] = clock.now()
-        self.differing[kind] = host
-        self.event.set()
+        if not self.differing_hosts[kind]:
+            self.differing_since[kind] = clock.now()
+        self.differing_hosts[kind] = host
+        self.difference_seen.set()
 
     def due(self, kind: int) -> bool:
-        """Tell whether a difference has lasted long enough to look into."""
+        """Tell whether a difference has lasted long enough to reconcile."""
         now = clock.now()
         settled = now - self.table.moved[kind] >= SETTLED_S
-        patient = now - self.since[kind] >= PATIENCE_S
-        joining = not self.met
-        return bool(self.differing[kind]) and (settled or patient or joining)
+        waited_enough = now - self.differing_since[kind] >= MAX_UNSETTLED_S
+        joining = not self.has_compared
+        return bool(self.differing_hosts[kind]) and (
+            settled or waited_enough or joining
+        )
 
     @mode.Service.task
-    async def _agree(self) -> None:
-        """Look into differences, one at a time."""
-        pause_s = PAUSE_S
+    async def _reconcile_periodically(self) -> None:
+        """Reconcile differences, one at a time."""
+        pause_s = MIN_PAUSE_S
         while not self.should_stop:
-            await self.event.wait()
-            # Records that differ bring most of the liveness with them.
+            await self.difference_seen.wait()
+            # Records go first: they also carry most liveness incarnations.
             due = [kind for kind in (0, 1) if self.due(kind)]
             useful = False
             for kind in due:
-                useful = useful or await self.meet(kind)
+                useful = useful or await self.reconcile(kind)
             if due:
-                pause_s = PAUSE_S if useful else pause_s * 2
-            if not any(self.differing):
-                self.event.clear()
-                pause_s = PAUSE_S
-            pause_s = min(pause_s, PAUSE_MAX_S)
+                pause_s = MIN_PAUSE_S if useful else pause_s * 2
+            if not any(self.differing_hosts):
+                self.difference_seen.clear()
+                pause_s = MIN_PAUSE_S
+            pause_s = min(pause_s, MAX_PAUSE_S)
             await asyncio.sleep(pause_s * self.rng.uniform(0.5, 1.0))
 
-    async def meet(self, kind: int) -> bool:
-        """Compare with one process.
+    async def reconcile(self, kind: int) -> bool:
+        """Reconcile with one process.
 
-        :return: whether something new came of it.
+        :return: whether this process learned something new.
         """
-        host, self.differing[kind] = self.differing[kind], ''
-        neighbours = [h for h in self.flooder.feeds if h != host]
+        host, self.differing_hosts[kind] = self.differing_hosts[kind], ''
+        neighbours = [h for h in self.flooder.queues if h != host]
         if neighbours and self.rng.random() >= DIRECT_SHARE:
             host = self.rng.choice(neighbours)
         entry = self.table.entries.get(host)
         if entry is None:
             return False
-        return await self.compare(kind, entry.member.peer)
+        return await self.reconcile_with(kind, entry.member.peer)
+
+    async def reconcile_with(self, kind: int, peer: str) -> bool:
+        """Compare buckets with one process, in at most MAX_ROUNDS rounds.
 
-    async def compare(self, kind: int, peer: str) -> bool:
-        """Mend the differences with one process."""
+        :return: whether this process learned something new.
+        """
         done: set[int] = set()
         useful = False
         for _round in range(MAX_ROUNDS):
-            self.rounds += 1
+            self.comparisons += 1
             result = await self.transport.call(
                 peer,
-                messages.Compare(kind, self._masked(kind, done)),
+                messages.Compare(kind, self._mask_done(kind, done)),
                 TIMEOUT_S,
             )
             if result.is_error() or not result.ok.buckets:
                 return useful
-            self.met = True
+            self.has_compared = True
             done.update(result.ok.buckets)
             if kind == messages.LIVENESS:
-                useful = self._liveness(result.ok.versions) or useful
+                useful = self._merge_liveness(result.ok.versions) or useful
             else:
-                useful = await self._records(peer, result.ok) or useful
+                useful = (
+                    await self._exchange_records(peer, result.ok) or useful
+                )
         return useful
 
-    def _masked(self, kind: int, done: set[int]) -> bytes:
-        """Return the own buckets; those done travel as all ones.
+    def _mask_done(self, kind: int, done: set[int]) -> bytes:
+        """Encode the own buckets, with all bits set in those already done.
 
-        A bucket may go on differing for good reasons, such as a host that
-        only one end believes dead.  Marked as done it is not offered again.
+        A bucket may still differ after an exchange, such as when only one end
+        believes a host dead.  The mark excludes it from further answers.
         """
         size = digest.BUCKET_BYTES
         data = bytearray(self.table.digests[kind].encode())
@@ -210,64 +221,80 @@
             data[number * size : (number + 1) * size] = DONE
         return bytes(data)
 
-    def _liveness(self, versions: typing.Iterable[messages.Version]) -> bool:
-        """Take in the incarnations that another process holds."""
-        news = False
+    def _merge_liveness(
+        self, versions: typing.Iterable[messages.Version]
+    ) -> bool:
+        """Process the liveness incarnations that another process holds."""
+        learned = False
         for version in versions:
             host, incarnation, _sequence = version
-            news = self.table.hear(host, messages.ALIVE, incarnation) or news
-            # They believe it alive, we believe it dead: a round trip tells.
+            learned = (
+                self.table.hear(host, messages.ALIVE, incarnation) or learned
+            )
+            # The other process believes it alive.  If it is believed dead
+            # here, a probe decides.
             self.dead_prober.probe_soon(host)
-        return news
+        return learned
 
-    async def _records(self, peer: str, differ: messages.Differ) -> bool:
-        """Fetch the records that are newer there, give those newer here."""
+    async def _exchange_records(
+        self, peer: str, differ: messages.Differ
+    ) -> bool:
+        """Fetch the records newer at the peer, send those newer here.
+
+        :return: whether the peer had newer records.
+        """
         theirs = {v.host: (v.incarnation, v.sequence) for v in differ.versions}
         wanted = [
             host
             for host, version in theirs.items()
-            if self._version(host) < version
+            if self._held_version(host) < version
         ]
-        # A few late records may be new to others as well; a whole sync, or
-        # what a healed network brings, would be flooded by everybody at once.
-        spread = len(wanted) <= FETCH and self.synced.is_set()
-        for hosts in _chunks(wanted, FETCH):
-            if not await self._take(peer, hosts, spread):
+        # A few delayed records may be new to others, too, and are forwarded.
+        # The many records of a join or of a healed partition are not: every
+        # process would flood them at the same time.
+        forward = len(wanted) <= MAX_FETCH_RECORDS and self.synced.is_set()
+        for hosts in _chunks(wanted, MAX_FETCH_RECORDS):
+            if not await self._fetch_records(peer, hosts, forward):
                 break
         mine = [
             entry.record
             for entry in self.table.entries.values()
             if entry.bucket in differ.buckets
             and (entry.up or entry.member.host in theirs)
-            and entry.record.version > theirs.get(entry.member.host, NOTHING)
+            and entry.record.version
+            > theirs.get(entry.member.host, NO_VERSION)
         ]
-        for records in _chunks(mine, FETCH):
+        for records in _chunks(mine, MAX_FETCH_RECORDS):
             batch = messages.Batch(tuple(records))
             result = await self.transport.call(peer, batch, TIMEOUT_S)
             if result.is_ok():
-                self.flooder.accept(result.ok.newer, spread)
-            await asyncio.sleep(_size(records) / TAKE_RATE)
+                self.flooder.accept(result.ok.newer, forward)
+            await asyncio.sleep(_total_bytes(records) / FETCH_BYTES_PER_S)
         return bool(wanted)
 
-    async def _take(self, peer: str, hosts: list[str], spread: bool) -> bool:
-        """Fetch the records of some hosts; tells whether any came."""
+    async def _fetch_records(
+        self, peer: str, hosts: list[str], forward: bool
+    ) -> bool:
+        """Fetch the records of some hosts; return whether any arrived."""
         result = await self.transport.call(
             peer, messages.Fetch(tuple(hosts)), TIMEOUT_S
         )
         if result.is_error() or not result.ok.records:
             return False
-        self.flooder.accept(result.ok.records, spread)
-        await asyncio.sleep(_size(result.ok.records) / TAKE_RATE)
+        self.flooder.accept(result.ok.records, forward)
+        await asyncio.sleep(
+            _total_bytes(result.ok.records) / FETCH_BYTES_PER_S
+        )
         return True
 
-    def _version(self, host: str) -> tuple[int, int]:
+    def _held_version(self, host: str) -> tuple[int, int]:
         entry = self.table.entries.get(host)
-        return entry.record.version if entry is not None else NOTHING
+        return entry.record.version if entry is not None else NO_VERSION
 
-    async def _compare(
+    async def _handle_compare(
         self, _sender: str, compare: messages.Compare
     ) -> messages.Differ:
-        """Answer with the hosts of some buckets that differ."""
+        """Answer with the versions held in some of the differing buckets."""
         kind = compare.kind
         if kind not in (messages.RECORDS, messages.LIVENESS):
             return messages.Differ((), ())
@@ -282,7 +309,7 @@
         }
         for entry in self.table.up():
             if entry.bucket in by_bucket:
-                by_bucket[entry.bucket].append(_held(kind, entry))
+                by_bucket[entry.bucket].append(_version_for(kind, entry))
         sizes = itertools.accumulate(len(v) for v in by_bucket.values())
         covered = [
             number
@@ -294,18 +321,20 @@
         )
         return messages.Differ(tuple(covered), tuple(versions))
 
-    async def _fetch(
+    async def _handle_fetch(
         self, _sender: str, fetch: messages.Fetch
     ) -> messages.Records:
-        """Answer with records, as far as the allowance goes."""
-        entries = (self.table.entries.get(h) for h in fetch.hosts[:FETCH])
+        """Answer with records, or with none if the byte budget is used up."""
+        entries = (
+            self.table.entries.get(h) for h in fetch.hosts[:MAX_FETCH_RECORDS]
+        )
         records = tuple(e.record for e in entries if e is not None)
-        if not self.allowance.take(_size(records)):
+        if not self.byte_budget.take(_total_bytes(records)):
             return messages.Records(())
         return messages.Records(records)
 
 
-NOTHING = (-1, -1)
+NO_VERSION = (-1, -1)
 DONE = b'\xff' * digest.BUCKET_BYTES
 
 
@@ -314,8 +343,8 @@
     return buckets[number * size : (number + 1) * size] == DONE
 
 
-def _held(kind: int, entry: tables.Entry) -> messages.Version:
-    """Return what is held of a host, for one kind of comparison."""
+def _version_for(kind: int, entry: tables.Entry) -> messages.Version:
+    """Return the version held of a host, for one kind of digest."""
     if kind == messages.LIVENESS:
         member = entry.member
         return messages.Version(member.host, member.incarnation, 0)
@@ -327,5 +356,5 @@
         yield items[start : start + size]
 
 
-def _size(records: typing.Iterable[messages.Record]) -> int:
+def _total_bytes(records: typing.Iterable[messages.Record]) -> int:
     return sum(len(record.body) for record in records)
--- a/carawaystair/membership/dead_prober.py
+++ b/carawaystair/membership/dead_prober.py
@@ -1,4 +1,4 @@
-"""Probes of the dead, so that a healed network is noticed from both sides."""
+"""Probes of hosts believed dead, so that a healed partition is noticed."""
 
 import asyncio
 import random
@@ -8,17 +8,17 @@
 from carawaystair.membership import probe
 from carawaystair.membership import table as tables
 
-# Each host believed dead is probed about once in this time by all together.
+# The fleet as a whole probes each dead host about once per period.
 PERIOD_S = 1.0
-# Hosts that others believe alive though they are believed dead here.
-MAX_CONTESTED = 256
+# Queued requests to probe a host that is dead here and alive elsewhere.
+MAX_REQUESTED = 256
 
 
 class DeadProber(mode.Service):
-    """Probes hosts believed dead now and then.
+    """Probes hosts believed dead at random times and on request.
 
     :param table: the table of hosts.
-    :param prober: the prober.
+    :param prober: sends the probes.
     :param rng: the source of randomness.
     """
 
@@ -33,32 +33,33 @@
         self.table = table
         self.prober = prober
         self.rng = rng
-        self.contested: dict[str, None] = {}
+        self.requested: dict[str, None] = {}
 
     def probe_soon(self, host: str) -> None:
-        """Probe a host soon if it is believed dead here."""
-        if host in self.table.dead and len(self.contested) < MAX_CONTESTED:
-            self.contested[host] = None
+        """Queue a probe of a host if it is believed dead here."""
+        if host in self.table.dead and len(self.requested) < MAX_REQUESTED:
+            self.requested[host] = None
 
     @mode.Service.task
-    async def _revive(self) -> None:
-        """Probe at most one dead host in each period.
+    async def _probe_dead(self) -> None:
+        """Probe at most one dead host per period.
 
-        Each dead host costs the fleet one probe a second and each process
-        sends at most one, whether one host died or a region is cut off.
+        This bounds the load whether one host died or a region is cut off:
+        the fleet sends each dead host about one probe a second, and each
+        process sends at most one.
         """
         while not self.should_stop:
             await asyncio.sleep(PERIOD_S * self.rng.uniform(0.5, 1.5))
-            host = self.choose()
+            host = self.choose_host()
             if host is not None:
                 entry = self.table.entries[host]
-                await self.prober.reach(entry, probe.DIRECT_S)
+                await self.prober.probe_directly(entry, probe.DIRECT_TIMEOUT_S)
 
-    def choose(self) -> str | None:
-        """Choose a host believed dead, or none this time."""
-        while self.contested:
-            host = next(iter(self.contested))
-            del self.contested[host]
+    def choose_host(self) -> str | None:
+        """Choose the dead host to probe in this period, or None."""
+        while self.requested:
+            host = next(iter(self.requested))
+            del self.requested[host]
             if host in self.table.dead:
                 return host
         dead = self.table.dead
--- a/carawaystair/membership/direct_push.py
+++ b/carawaystair/membership/direct_push.py
@@ -1,9 +1,10 @@
-"""Straight news for those that send to the upstreams of a host.
+"""Direct push of urgent records to the nodes that use a host's upstreams.
 
 A node that begins to send requests to a service registers with the hosts of
-its upstreams.  A leave then goes straight to the registered nodes, again and
-again until each acknowledges it, beside the flooding that reaches all nodes.
-Both ends are bounded; beyond the bound flooding alone does the work.
+its upstreams.  When upstreams drain or leave, the host sends its record
+directly to the registered nodes and repeats it until each acknowledges it,
+in addition to flooding, which reaches all nodes.  The number of registrations
+is bounded on both sides; nodes beyond the bounds rely on flooding.
 """
 
 import asyncio
@@ -17,27 +18,27 @@
 from carawaystair.membership import messages
 from carawaystair.membership import table as tables
 
-# Registered senders at one host; the oldest make room.
-MAX_SENDERS = 128
-# A registration that is not renewed ends, in seconds.
-HOLD_S = 600.0
-RENEW_S = HOLD_S / 3
-# Registrations sent by one node, at most so many in so much time.
-TICK_S = 1.0
-MAX_SENT = 20
-# A push is sent again in this time, so many times.
+# Registered nodes per host; the oldest registration is dropped first.
+MAX_SUBSCRIBERS = 128
+# Lifetime of a registration that is not renewed, in seconds.
+REGISTRATION_S = 600.0
+RENEW_S = REGISTRATION_S / 3
+# A node sends at most MAX_REGISTRATIONS per REGISTER_INTERVAL_S.
+REGISTER_INTERVAL_S = 1.0
+MAX_REGISTRATIONS = 20
+# Interval and maximum number of sends of a push.
 RESEND_S = 0.15
-TRIES = 12
-# Larger records don't fit a datagram and are left to flooding.
-MAX_BYTES = 1200
+MAX_TRIES = 12
+# Larger records don't fit a datagram and are distributed by flooding only.
+MAX_RECORD_BYTES = 1200
 
 
 class DirectPush(mode.Service):
-    """Registers with others, and pushes to the registered.
+    """Registers with other hosts, and pushes to the nodes registered here.
 
     :param table: the table of hosts.
-    :param directory: knows the services that this node sends to.
-    :param flooder: takes in what others push.
+    :param directory: lists the services that this node sends requests to.
+    :param flooder: accepts the records that other hosts push.
     :param datagrams: the datagrams of this process.
     """
 
@@ -54,97 +55,101 @@
         self.directory = directory
         self.flooder = flooder
         self.datagrams = datagrams
-        # Address for datagrams and until when its registration holds.
-        self.senders: collections.OrderedDict[str, float] = (
+        # Expiry time of each registration, by datagram address.
+        self.subscribers: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        # Hosts that this node registered with, and when.
-        self.registered: dict[str, float] = {}
-        # Services, and when their hosts are to be looked through again.
-        self.renewals: dict[str, float] = {}
-        # Senders that have not acknowledged the newest record yet.
-        self.waiting: set[str] = set()
-        self.pushing: asyncio.Task | None = None
-        datagrams.handle(messages.Interest, self._interested)
-        datagrams.handle(messages.Push, self._receive)
-        datagrams.handle(messages.Pushed, self._acknowledged)
+        # Time at which this node last registered with a host.
+        self.registered_at: dict[str, float] = {}
+        # Time at which the hosts of a service are to be checked again.
+        self.renew_at: dict[str, float] = {}
+        # Addresses that have not acknowledged the newest record yet.
+        self.unacknowledged: set[str] = set()
+        self.push_task: asyncio.Task | None = None
+        datagrams.handle(messages.Interest, self._handle_interest)
+        datagrams.handle(messages.Push, self._handle_push)
+        datagrams.handle(messages.Pushed, self._handle_pushed)
 
     async def on_stop(self) -> None:
-        """End the push that runs."""
-        if self.pushing is not None:
-            self.pushing.cancel()
+        """Cancel the push in progress."""
+        if self.push_task is not None:
+            self.push_task.cancel()
 
     def push(self, record: messages.Record) -> None:
-        """Push the own record, in place of an earlier one."""
-        if self.pushing is not None:
-            self.pushing.cancel()
+        """Push the own record, and cancel the push of an earlier one."""
+        if self.push_task is not None:
+            self.push_task.cancel()
         now = clock.now()
-        self.waiting = {a for a, until in self.senders.items() if until > now}
-        if self.waiting and len(record.body) <= MAX_BYTES:
-            self.pushing = asyncio.create_task(self._push(record))
+        self.unacknowledged = {
+            a for a, until in self.subscribers.items() if until > now
+        }
+        if self.unacknowledged and len(record.body) <= MAX_RECORD_BYTES:
+            self.push_task = asyncio.create_task(self._push(record))
 
     async def _push(self, record: messages.Record) -> None:
-        """Send a record until all that wait have acknowledged it."""
-        for _try in range(TRIES):
-            for address in sorted(self.waiting):
+        """Send a record repeatedly until all addresses acknowledged it."""
+        for _try in range(MAX_TRIES):
+            for address in sorted(self.unacknowledged):
                 self.datagrams.send(address, messages.Push(record))
             await asyncio.sleep(RESEND_S)
-            if not self.waiting:
+            if not self.unacknowledged:
                 return
 
     @mode.Service.task
-    async def _register(self) -> None:
-        """Register with the hosts of the services in use."""
+    async def _register_periodically(self) -> None:
+        """Register with the hosts of all services in use."""
         while not self.should_stop:
-            await asyncio.sleep(TICK_S)
-            for host in self._due(clock.now()):
-                self._send(host)
-
-    def _send(self, host: str) -> None:
-        """Register with one host."""
-        self.registered.pop(host, None)
-        self.registered[host] = clock.now()
-        if len(self.registered) > tables.MAX_HOSTS:
-            del self.registered[next(iter(self.registered))]
+            await asyncio.sleep(REGISTER_INTERVAL_S)
+            for host in self._due_hosts(clock.now()):
+                self._register_with(host)
+
+    def _register_with(self, host: str) -> None:
+        """Register this node with one host."""
+        self.registered_at.pop(host, None)
+        self.registered_at[host] = clock.now()
+        if len(self.registered_at) > tables.MAX_HOSTS:
+            del self.registered_at[next(iter(self.registered_at))]
         address = self.table.entries[host].member.gossip
         self.datagrams.send(address, messages.Interest(self.table.host))
 
-    def _due(self, now: float) -> list[str]:
-        """Return the hosts to register with now, some of them."""
+    def _due_hosts(self, now: float) -> list[str]:
+        """Return hosts to register with now, at most MAX_REGISTRATIONS."""
         used = sorted(self.directory.used)
-        due = [name for name in used if self.renewals.get(name, 0.0) <= now]
+        due = [name for name in used if self.renew_at.get(name, 0.0) <= now]
         hosts: dict[str, None] = {}
         for service in due:
             hosts.update(dict.fromkeys(self._unregistered(service, now)))
-            if len(hosts) > MAX_SENT:
+            if len(hosts) > MAX_REGISTRATIONS:
                 break
-            self.renewals[service] = now + RENEW_S
-        return list(hosts)[:MAX_SENT]
+            self.renew_at[service] = now + RENEW_S
+        return list(hosts)[:MAX_REGISTRATIONS]
 
     def _unregistered(self, service: str, now: float) -> list[str]:
-        """Return the hosts of a service that don't know of this node."""
+        """Return the hosts of a service without a recent registration."""
         old = now - RENEW_S
         return [
             host
             for host in self.directory.hosts.get(service, ())
             if host != self.table.host
-            and self.registered.get(host, old) <= old
+            and self.registered_at.get(host, old) <= old
         ]
 
-    def _interested(self, sender: str, interest: messages.Interest) -> None:
+    def _handle_interest(
+        self, sender: str, interest: messages.Interest
+    ) -> None:
         entry = self.table.entries.get(interest.host)
         if entry is None or not entry.up:
             return
-        self.senders[sender] = clock.now() + HOLD_S
-        self.senders.move_to_end(sender)
-        if len(self.senders) > MAX_SENDERS:
-            self.senders.popitem(last=False)
+        self.subscribers[sender] = clock.now() + REGISTRATION_S
+        self.subscribers.move_to_end(sender)
+        if len(self.subscribers) > MAX_SUBSCRIBERS:
+            self.subscribers.popitem(last=False)
 
-    def _receive(self, sender: str, push: messages.Push) -> None:
+    def _handle_push(self, sender: str, push: messages.Push) -> None:
         self.flooder.accept((push.record,))
         version = push.record.version
         self.datagrams.send(sender, messages.Pushed(*version))
 
-    def _acknowledged(self, sender: str, pushed: messages.Pushed) -> None:
+    def _handle_pushed(self, sender: str, pushed: messages.Pushed) -> None:
         if pushed == self.table.me.record.version:
-            self.waiting.discard(sender)
+            self.unacknowledged.discard(sender)
--- a/carawaystair/membership/expiry.py
+++ b/carawaystair/membership/expiry.py
@@ -1,8 +1,8 @@
-"""Forgets hosts that left or died long ago.
+"""Expiry of table entries of hosts that left or died long ago.
 
-What is kept of them has a bounded life, or a fleet that replaces hosts for
-years would carry all their names.  It must be long enough, too: a late
-message about a forgotten host would be taken for a new host.
+Without it, a fleet that replaces hosts for years would accumulate all their
+names.  Entries must not expire too early either: a delayed message about a
+forgotten host would add it to the table as a new host.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 from carawaystair.membership import messages
 from carawaystair.membership import table as tables
 
-# A host that left is remembered for an hour: longer than any process goes on
-# believing it alive, since a round trip through the whole fleet takes each
-# process n probe periods, 21 minutes at 2,500 hosts.
-LEFT_S = 3600.0
-# A dead host is kept, and probed, for a day: regions lose each other for an
-# hour, and both sides must find the other again.
-DEAD_S = 86_400.0
-SWEEP_S = 10.0
+# Retention of hosts that left.  One hour is longer than any process can go on
+# believing such a host alive: a process needs n probe periods to probe the
+# whole fleet, 21 minutes at 2,500 hosts.
+LEFT_RETENTION_S = 3600.0
+# Retention of dead hosts, which are still probed.  Regions can be disconnected
+# for an hour, and both sides must find each other again afterwards.
+DEAD_RETENTION_S = 86_400.0
+SWEEP_INTERVAL_S = 10.0
 
 
 class HostExpiry(mode.Service):
-    """Drops old entries from the table.
+    """Periodically removes expired hosts from the table.
 
     :param table: the table of hosts.
     """
@@ -37,19 +37,26 @@
     @mode.Service.task
     async def _sweep(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(SWEEP_S)
-            for host in old(self.table.entries.values(), clock.now()):
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            for host in expired_hosts(
+                self.table.entries.values(), clock.now()
+            ):
                 self.table.forget(host)
 
 
-def old(entries: typing.Iterable[tables.Entry], now: float) -> list[str]:
-    """Return the hosts to forget.
+def expired_hosts(
+    entries: typing.Iterable[tables.Entry], now: float
+) -> list[str]:
+    """Return the hosts whose retention time has passed.
 
     :param now: monotonic time.
     """
-    lives = {messages.LEFT: LEFT_S, messages.DEAD: DEAD_S}
+    retention_s = {
+        messages.LEFT: LEFT_RETENTION_S,
+        messages.DEAD: DEAD_RETENTION_S,
+    }
     return [
         entry.member.host
         for entry in entries
-        if not entry.up and now - entry.since > lives[entry.state]
+        if not entry.up and now - entry.since > retention_s[entry.state]
     ]
--- a/carawaystair/membership/flooding.py
+++ b/carawaystair/membership/flooding.py
@@ -1,14 +1,15 @@
 """Flooding of new records over the overlay, acknowledged hop by hop.
 
-One task feeds each neighbour: it sends what is new, waits for the answer, and
-sends again what was lost.  What becomes new meanwhile waits by host, so that
-the queue of a slow or silent neighbour is bounded by the number of hosts and
-holds only the newest record of each.
-
-A record that ends upstreams is pushed over every edge at once.  All others
-are offered by their versions first and sent to those that lack them, so that
-each process receives a record about once, whatever the number of its
-neighbours (lazy push, as in Plumtree, Leitao, Pereira and Rodrigues, 2007).
+One task per neighbour sends new records, waits for the answer, and resends
+records that were lost.  Its queue holds host names rather than records, so the
+queue of a slow or silent neighbour is bounded by the number of hosts, and the
+newest record of each host is sent.
+
+A record that ends upstreams is pushed over every link immediately.  Versions
+of all other records are offered first, and only records that a neighbour lacks
+are sent, so that each process receives a record about once, independent of its
+number of neighbours (lazy push, as in Plumtree, Leitao, Pereira and Rodrigues,
+2007).
 """
 
 import asyncio
@@ -24,67 +25,67 @@
 from carawaystair.membership import overlay
 from carawaystair.membership import table as tables
 
-# A batch that is not answered in this time is sent again, in seconds.  Two
-# losses in a row must still leave most of the two seconds that a leave has.
-RETRY_S = 0.25
-# After so many failures in a row the pause grows: a neighbour that hears
-# nothing must not cost what a live one costs.
-PATIENCE = 8
+# Seconds after which an unanswered message is sent again.  After two
+# consecutive losses most of the two seconds allowed for a leave must remain.
+ANSWER_TIMEOUT_S = 0.25
+# Consecutive failures after which the pause grows to BACKOFF_S, so that an
+# unreachable neighbour costs less than a live one.
+FAILURES_BEFORE_BACKOFF = 8
 BACKOFF_S = 2.0
 BATCH_BYTES = 32 * 1024
-# Bytes per second to one neighbour; a returning data centre brings hundreds
-# of records at once, which must not crowd out requests.
-RATE = 256 * 1024
-# A new neighbour gets what was passed on in the last so many seconds: it may
-# have missed that while the overlay was being changed.
+# Bytes per second sent to one neighbour.  When a data centre returns, hundreds
+# of records are forwarded at once, which must not crowd out requests.
+MAX_BYTES_PER_S = 256 * 1024
+# A new neighbour is offered the records forwarded in the last RECENT_S
+# seconds, which it may have missed while the overlay changed.
 RECENT_S = 5.0
-DRAIN_POLL_S = 0.02
-# Versions in one offer, and the pause after one, in seconds, in which others
-# gather.
+ACKNOWLEDGE_POLL_S = 0.02
+# Versions per offer, and the pause after an offer, in seconds, during which
+# further offers are collected.
 MAX_OFFERED = 500
-OFFER_GAP_S = 0.2
-# A record that was asked for and has not come in this time is asked for
-# elsewhere, in seconds; it takes a push and one repetition.
-EXPECT_S = 2 * RETRY_S
-MAX_EXPECTED = 10_000
-# The overlay follows the members at most this often, in seconds.
-SETTLE_S = 0.25
+OFFER_PAUSE_S = 0.2
+# Seconds after which a requested record that has not arrived may be requested
+# from another neighbour: enough for a push and one resend.
+REQUEST_TIMEOUT_S = 2 * ANSWER_TIMEOUT_S
+MAX_REQUESTED = 10_000
+# Minimum interval between updates of the neighbours, in seconds.
+UPDATE_INTERVAL_S = 0.25
 
 
-class Feed:
-    """What waits for one neighbour.
+class NeighbourQueue:
+    """The records to be sent to one neighbour.
 
-    :param address: where it takes messages.
+    :param address: ``ip:port`` of its links.
     """
 
     def __init__(self, address: str) -> None:
         self.address = address
-        # Hosts whose records are pushed, and those whose records are offered.
-        self.waiting: dict[str, None] = {}
-        self.offered: dict[str, None] = {}
-        self.busy = False
-        self.event = asyncio.Event()
-        # Set by what is not to wait until more offers have gathered.
-        self.urgent = asyncio.Event()
+        # Hosts whose records are to be pushed, and to be offered, in order.
+        self.to_push: dict[str, None] = {}
+        self.to_offer: dict[str, None] = {}
+        self.has_pending = False
+        self.not_empty = asyncio.Event()
+        # Set by records to push, which end the pause after an offer.
+        self.push_requested = asyncio.Event()
         self.task: asyncio.Task | None = None
 
     def add(self, host: str, urgent: bool = True) -> None:
-        """Let the record of a host wait.
+        """Queue the record of a host.
 
-        :param urgent: whether it is pushed without an offer.
+        :param urgent: whether to push it without an offer.
         """
         if urgent:
-            self.offered.pop(host, None)
-            self.waiting[host] = None
-            self.urgent.set()
-        elif host not in self.waiting:
-            self.offered[host] = None
-        self.busy = True
-        self.event.set()
+            self.to_offer.pop(host, None)
+            self.to_push[host] = None
+            self.push_requested.set()
+        elif host not in self.to_push:
+            self.to_offer[host] = None
+        self.has_pending = True
+        self.not_empty.set()
 
 
 class Flooder(mode.Service):
-    """Passes records on.
+    """Accepts records and forwards new ones to the neighbours.
 
     :param table: the table of hosts.
     :param transport: the messages of this process.
@@ -96,151 +97,156 @@
         super().__init__(**kwargs)
         self.table = table
         self.transport = transport
-        self.feeds: dict[str, Feed] = {}
-        # Hosts whose records were passed on of late, and when.
-        self.recent: dict[str, float] = {}
-        # Versions that were asked for and are to come, and until when.
-        self.expected: dict[str, tuple[tuple[int, int], float]] = {}
-        # Offers that could not be read, and records that came once more.
+        self.queues: dict[str, NeighbourQueue] = {}
+        # Time at which the record of a host was last forwarded.
+        self.recently_forwarded: dict[str, float] = {}
+        # Version requested from a neighbour, and until when it is expected.
+        self.requested: dict[str, tuple[tuple[int, int], float]] = {}
+
         self.malformed_offers = 0
         self.duplicates = 0
         self.received = 0
-        self.stale = asyncio.Event()
-        table.listeners.append(self._changed)
-        transport.handle(messages.Batch, self._receive)
-        transport.handle(messages.Offer, self._offered)
+        self.overlay_changed = asyncio.Event()
+        table.listeners.append(self._on_table_change)
+        transport.handle(messages.Batch, self._handle_batch)
+        transport.handle(messages.Offer, self._handle_offer)
 
     async def on_stop(self) -> None:
-        """End the feeds."""
-        for host in list(self.feeds):
-            self._drop(host)
+        """Close the queues of all neighbours."""
+        for host in list(self.queues):
+            self._close_queue(host)
 
     def forward(self, host: str, urgent: bool) -> None:
-        """Pass the record of a host on to every neighbour.
+        """Forward the record of a host to every neighbour.
 
-        :param urgent: at once, without asking who lacks it.
+        :param urgent: whether to push it without an offer.
         """
-        self.recent.pop(host, None)
-        self.recent[host] = clock.now()
-        for feed in self.feeds.values():
-            feed.add(host, urgent)
+        self.recently_forwarded.pop(host, None)
+        self.recently_forwarded[host] = clock.now()
+        for queue in self.queues.values():
+            queue.add(host, urgent)
 
     def accept(
         self, records: typing.Iterable[messages.Record], forward: bool = True
     ) -> int:
-        """Take records in.
+        """Add records to the table.
 
-        :param forward: whether to pass on those that are new.
-        :return: how many were new.
+        :param forward: whether to forward those that are new.
+        :return: number of new records.
         """
-        return sum(self._put(record, forward) for record in records)
+        return sum(self._accept_record(record, forward) for record in records)
 
-    def _put(self, record: messages.Record, forward: bool) -> bool:
-        """Take a record in; tell whether it was new."""
+    def _accept_record(self, record: messages.Record, forward: bool) -> bool:
+        """Add a record to the table; return whether it was new."""
         entry = self.table.entries.get(record.host)
         old = None if entry is None else entry.record
         if not self.table.put(record):
             return False
-        self.expected.pop(record.host, None)
+        self.requested.pop(record.host, None)
         if forward:
             self.forward(record.host, messages.ends_upstreams(old, record))
         return True
 
     async def wait_until_acknowledged(self, time_s: float) -> bool:
-        """Wait until no neighbour waits for anything.
+        """Wait until every neighbour has acknowledged all queued records.
 
-        :param time_s: seconds to wait at most.
-        :return: whether all was acknowledged.
+        :param time_s: maximum wait, in seconds.
+        :return: whether everything was acknowledged.
         """
         until = clock.now() + time_s
         while clock.now() < until:
-            if not any(feed.busy for feed in self.feeds.values()):
+            if not any(queue.has_pending for queue in self.queues.values()):
                 return True
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(ACKNOWLEDGE_POLL_S)
         return False
 
-    def align(self) -> None:
-        """Open and close feeds as the overlay has it now."""
+    def update_queues(self) -> None:
+        """Open and close queues to match the current overlay."""
         centres = {
             entry.member.host: entry.member.data_centre
             for entry in (self.table.me, *self.table.up())
         }
         wanted = overlay.neighbours(self.table.host, centres)
-        for host in self.feeds.keys() - set(wanted):
-            self._drop(host)
+        for host in self.queues.keys() - set(wanted):
+            self._close_queue(host)
         for host in wanted:
             address = self.table.entries[host].member.peer
-            feed = self.feeds.get(host)
-            if feed is not None and feed.address != address:
-                self._drop(host)
-                feed = None
-            if feed is None:
-                self.feeds[host] = self._open(address)
+            queue = self.queues.get(host)
+            if queue is not None and queue.address != address:
+                self._close_queue(host)
+                queue = None
+            if queue is None:
+                self.queues[host] = self._open_queue(address)
 
     @mode.Service.task
-    async def _follow(self) -> None:
-        """Let the overlay follow the members."""
+    async def _follow_members(self) -> None:
+        """Update the queues when the members change."""
         while not self.should_stop:
-            await self.stale.wait()
-            self.stale.clear()
-            self.align()
-            await asyncio.sleep(SETTLE_S)
-
-    def _open(self, address: str) -> Feed:
-        """Begin to feed a neighbour, with what changed of late."""
-        feed = Feed(address)
+            await self.overlay_changed.wait()
+            self.overlay_changed.clear()
+            self.update_queues()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+
+    def _open_queue(self, address: str) -> NeighbourQueue:
+        """Open the queue of a neighbour, with recently forwarded records."""
+        queue = NeighbourQueue(address)
         since = clock.now() - RECENT_S
-        self.recent = {h: t for h, t in self.recent.items() if t >= since}
-        for host in self.recent:
-            feed.add(host, False)
-        feed.task = asyncio.create_task(self._feed(feed))
-        return feed
-
-    async def _feed(self, feed: Feed) -> None:
-        """Feed one neighbour."""
+        self.recently_forwarded = {
+            h: t for h, t in self.recently_forwarded.items() if t >= since
+        }
+        for host in self.recently_forwarded:
+            queue.add(host, False)
+        queue.task = asyncio.create_task(self._send_queue(queue))
+        return queue
+
+    async def _send_queue(self, queue: NeighbourQueue) -> None:
+        """Send the queued records to one neighbour."""
         failures = 0
         while True:
-            await feed.event.wait()
-            if not feed.waiting and not feed.offered:
-                feed.busy = False
-                feed.event.clear()
+            await queue.not_empty.wait()
+            if not queue.to_push and not queue.to_offer:
+                queue.has_pending = False
+                queue.not_empty.clear()
                 continue
-            if feed.waiting:
-                sent = await self._push(feed)
+            if queue.to_push:
+                sent = await self._push_batch(queue)
             else:
-                sent = await self._offer(feed, failures)
+                sent = await self._send_offer(queue, failures)
             failures = 0 if sent else failures + 1
-            await asyncio.sleep(BACKOFF_S if failures > PATIENCE else 0)
+            await asyncio.sleep(
+                BACKOFF_S if failures > FAILURES_BEFORE_BACKOFF else 0
+            )
 
-    async def _push(self, feed: Feed) -> bool:
-        """Push the next records that wait; tell whether they arrived."""
-        batch = self._batch(feed)
+    async def _push_batch(self, queue: NeighbourQueue) -> bool:
+        """Push the next batch of records; return whether it was answered."""
+        batch = self._next_batch(queue)
         if not batch:
             return True
         result = await self.transport.call(
-            feed.address, messages.Batch(batch), RETRY_S
+            queue.address, messages.Batch(batch), ANSWER_TIMEOUT_S
         )
         if result.is_error():
             for record in batch:
-                feed.add(record.host)
+                queue.add(record.host)
             return False
         self.accept(result.ok.newer)
         size = sum(len(record.body) for record in batch)
-        await asyncio.sleep(size / RATE)
+        await asyncio.sleep(size / MAX_BYTES_PER_S)
         return True
 
-    async def _offer(self, feed: Feed, failures: int) -> bool:
-        """Offer what waits; tell whether the neighbour answered.
+    async def _send_offer(self, queue: NeighbourQueue, failures: int) -> bool:
+        """Offer the queued records; return whether the neighbour answered.
 
-        What it wants is pushed next, and so is what it did not answer twice:
-        a process of an older version does not know offers.
+        The requested records are pushed next.  After two unanswered offers
+        the records are pushed as well: a process of an older version doesn't
+        support offers.
 
-        :param failures: messages in a row that it did not answer.
+        :param failures: consecutive messages that it did not answer.
         """
-        hosts = list(itertools.islice(feed.offered, MAX_OFFERED))
+        hosts = list(itertools.islice(queue.to_offer, MAX_OFFERED))
         for host in hosts:
-            del feed.offered[host]
-        records = [self._record(host) for host in hosts]
+            del queue.to_offer[host]
+        records = [self._forwardable_record(host) for host in hosts]
         versions = tuple(
             messages.Version(record.host, *record.version)
             for record in records
@@ -249,64 +255,70 @@
         if not versions:
             return True
         offer = messages.Offer(messages.pack_versions(versions))
-        result = await self.transport.call(feed.address, offer, RETRY_S)
+        result = await self.transport.call(
+            queue.address, offer, ANSWER_TIMEOUT_S
+        )
         if result.is_error():
             for host in hosts:
-                feed.add(host, failures > 0)
+                queue.add(host, failures > 0)
             return False
         for host in filter(set(hosts).__contains__, result.ok.hosts):
-            feed.add(host)
-        for host in filter(set(hosts).__contains__, result.ok.expected):
-            feed.add(host, False)
-        if feed.waiting:
-            return await self._push(feed)
-        await self._gather(feed)
+            queue.add(host)
+        for host in filter(
+            set(hosts).__contains__, result.ok.already_requested
+        ):
+            queue.add(host, False)
+        if queue.to_push:
+            return await self._push_batch(queue)
+        await self._await_offers(queue)
         return True
 
-    async def _gather(self, feed: Feed) -> None:
-        """Let offers wait for others, unless something urgent comes."""
-        feed.urgent.clear()
+    async def _await_offers(self, queue: NeighbourQueue) -> None:
+        """Wait for more records to offer, or until one is to be pushed."""
+        queue.push_requested.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(OFFER_GAP_S):
-                await feed.urgent.wait()
+            async with asyncio.timeout(OFFER_PAUSE_S):
+                await queue.push_requested.wait()
 
-    def _batch(self, feed: Feed) -> tuple[messages.Record, ...]:
-        """Take the next records that wait, up to the size of a batch."""
+    def _next_batch(
+        self, queue: NeighbourQueue
+    ) -> tuple[messages.Record, ...]:
+        """Remove the next records to push, up to the size of a batch."""
         batch = []
         size = 0
-        while feed.waiting and size < BATCH_BYTES:
-            host = next(iter(feed.waiting))
-            del feed.waiting[host]
-            record = self._record(host)
+        while queue.to_push and size < BATCH_BYTES:
+            host = next(iter(queue.to_push))
+            del queue.to_push[host]
+            record = self._forwardable_record(host)
             if record is not None:
                 batch.append(record)
                 size += len(record.body)
         return tuple(batch)
 
-    def _record(self, host: str) -> messages.Record | None:
-        """Return the record of a host to pass on, None while it seems dead.
+    def _forwardable_record(self, host: str) -> messages.Record | None:
+        """Return the record of a host, or None if the host is believed dead.
 
-        Others may have forgotten that host; passed on, its record would bring
-        it back there.
+        Other processes may have forgotten a dead host; its record would add
+        the host to their tables again.
         """
         entry = self.table.entries.get(host)
         if entry is None or entry.state == messages.DEAD:
             return None
         return entry.record
 
-    async def _offered(
+    async def _handle_offer(
         self, _sender: str, offer: messages.Offer
     ) -> messages.Wanted:
-        """Answer which of the offered records this process lacks."""
+        """Request the offered records that this process lacks."""
         versions = messages.unpack_versions(offer.versions)
         if versions is None:
             self.malformed_offers += 1
             return messages.Wanted(())
         lacking = [v for v in versions[:MAX_OFFERED] if self._lacks(v)]
         now = clock.now()
-        wanted = [v for v in lacking if not self._expects(v, now)]
+        wanted = [v for v in lacking if not self._is_requested(v, now)]
         for version in wanted:
-            self._expect(version, now)
+            self._note_request(version, now)
         asked = tuple(version.host for version in wanted)
         return messages.Wanted(
             asked, tuple(v.host for v in lacking if v not in wanted)
@@ -317,28 +329,28 @@
         held = (-1, -1) if entry is None else entry.record.version
         return held < version[1:]
 
-    def _expects(self, version: messages.Version, now: float) -> bool:
-        expected, until = self.expected.get(version.host, ((-1, -1), 0.0))
-        return until > now and expected >= version[1:]
+    def _is_requested(self, version: messages.Version, now: float) -> bool:
+        requested, until = self.requested.get(version.host, ((-1, -1), 0.0))
+        return until > now and requested >= version[1:]
 
-    def _expect(self, version: messages.Version, now: float) -> None:
-        self.expected.pop(version.host, None)
-        self.expected[version.host] = (version[1:], now + EXPECT_S)
-        if len(self.expected) > MAX_EXPECTED:
-            del self.expected[next(iter(self.expected))]
+    def _note_request(self, version: messages.Version, now: float) -> None:
+        self.requested.pop(version.host, None)
+        self.requested[version.host] = (version[1:], now + REQUEST_TIMEOUT_S)
+        if len(self.requested) > MAX_REQUESTED:
+            del self.requested[next(iter(self.requested))]
 
-    async def _receive(
+    async def _handle_batch(
         self, _sender: str, batch: messages.Batch
     ) -> messages.Taken:
         new = self.accept(batch.records)
         self.received += len(batch.records)
         self.duplicates += len(batch.records) - new
-        return messages.Taken(self._newer(batch.records))
+        return messages.Taken(self._newer_records(batch.records))
 
-    def _newer(
+    def _newer_records(
         self, records: typing.Iterable[messages.Record]
     ) -> tuple[messages.Record, ...]:
-        """Return own records that are newer than the given ones."""
+        """Return records of the table that are newer than the given ones."""
         entries = (self.table.entries.get(record.host) for record in records)
         pairs = zip(records, entries, strict=True)
         return tuple(
@@ -347,12 +359,12 @@
             if entry is not None and entry.record.version > record.version
         )
 
-    def _drop(self, host: str) -> None:
-        feed = self.feeds.pop(host)
-        if feed.task is not None:
-            feed.task.cancel()
+    def _close_queue(self, host: str) -> None:
+        queue = self.queues.pop(host)
+        if queue.task is not None:
+            queue.task.cancel()
 
-    def _changed(self, change: tables.Change) -> None:
+    def _on_table_change(self, change: tables.Change) -> None:
         moved = change.old_record is not change.entry.record
         if change.was_up != change.entry.up or moved:
-            self.stale.set()
+            self.overlay_changed.set()
--- a/carawaystair/membership/gossip.py
+++ b/carawaystair/membership/gossip.py
@@ -1,8 +1,8 @@
-"""Gossip: news of liveness, with probes and on its own.
+"""Gossip of liveness news between processes.
 
-News rides on probes and their answers.  While there is some, it is also sent
-on its own, so that a suspicion and its refutation reach everybody well
-within the time that the suspected host has.
+News is piggybacked on probes and their answers.  While any is queued it is
+also sent in datagrams of its own, so that a suspicion and its refutation reach
+every process well before the suspicion times out.
 """
 
 import asyncio
@@ -16,15 +16,15 @@
 from carawaystair.membership import news_queue
 from carawaystair.membership import table as tables
 
-# While there is news, it goes to so many processes in so much time.
-PERIOD_S = 0.2
-FANOUT = 2
-# A refutation goes to so many processes at once.
+# Queued news is sent to this many processes once per period.
+SEND_PERIOD_S = 0.2
+SEND_FANOUT = 2
+# Number of processes to which a refutation is sent immediately.
 REFUTE_FANOUT = 3
 
 
 class Gossip(mode.Service):
-    """Spreads news and takes it in.
+    """Sends and receives liveness news.
 
     :param table: the table of hosts.
     :param datagrams: the datagrams of this process.
@@ -39,48 +39,49 @@
         self.datagrams = datagrams
         self.rng = rng
         self.queue = news_queue.Queue(lambda: len(table.up()))
-        # Takes each piece of news that is to be believed, see suspicion.
-        self.believe: typing.Callable[[messages.News], None] = self.queue.add
-        datagrams.handle(messages.Rumour, self._rumoured)
+        # Called with each trusted piece of news; the prober replaces it.
+        self.on_news: typing.Callable[[messages.News], None] = self.queue.add
+        datagrams.handle(messages.Rumour, self._handle_rumour)
 
     def refute(self) -> None:
-        """Tell that this process lives, at its new incarnation."""
+        """Announce that this process is alive, with its new incarnation."""
         me = self.table.me.member
         self.queue.add(messages.News(me.host, messages.ALIVE, me.incarnation))
-        self._tell(REFUTE_FANOUT)
+        self._send_news(REFUTE_FANOUT)
 
-    def take(self, host: str, news: typing.Iterable[messages.News]) -> None:
-        """Take in news; from a host believed dead only what is about us.
+    def receive(self, host: str, news: typing.Iterable[messages.News]) -> None:
+        """Process received news.
 
-        A host that can send but hears nothing suspects everybody.  Once it
-        is itself believed dead, its word about others counts no more.
+        A host that can send but not receive suspects every other host.  Once
+        it is believed dead, its news about others is ignored; only what it
+        says of this process is still processed.
         """
         entry = self.table.entries.get(host)
         trusted = entry is not None and entry.up
         for item in news:
             if trusted or item.host == self.table.host:
-                self.believe(item)
+                self.on_news(item)
 
     @mode.Service.task
-    async def _spread(self) -> None:
-        """Send news on its own while there is some."""
+    async def _send_while_queued(self) -> None:
+        """Send news in datagrams of its own while any is queued."""
         while not self.should_stop:
-            await self.queue.filled.wait()
-            await asyncio.sleep(PERIOD_S)
-            self._tell(FANOUT)
+            await self.queue.not_empty.wait()
+            await asyncio.sleep(SEND_PERIOD_S)
+            self._send_news(SEND_FANOUT)
 
-    def _tell(self, count: int) -> None:
+    def _send_news(self, count: int) -> None:
         up = self.table.up()
         chosen = self.rng.sample(up, min(2 * count + 1, len(up)))
         others = [entry for entry in chosen if entry is not self.table.me]
-        # Those under suspicion likely hear nothing.
+        # Suspected hosts come last: they probably receive nothing.
         others.sort(key=operator.attrgetter('state'))
         for entry in others[:count]:
-            news = self.queue.pick()
+            news = self.queue.take_batch()
             if not news:
                 return
             rumour = messages.Rumour(self.table.host, news)
             self.datagrams.send(entry.member.gossip, rumour)
 
-    def _rumoured(self, _sender: str, rumour: messages.Rumour) -> None:
-        self.take(rumour.host, rumour.news)
+    def _handle_rumour(self, _sender: str, rumour: messages.Rumour) -> None:
+        self.receive(rumour.host, rumour.news)
--- a/carawaystair/membership/join.py
+++ b/carawaystair/membership/join.py
@@ -1,4 +1,4 @@
-"""Joining the fleet through any of a few seeds."""
+"""Joining the fleet through one of several seeds."""
 
 import asyncio
 import random
@@ -15,30 +15,30 @@
 from carawaystair.membership import table as tables
 
 TIMEOUT_S = 1.0
-# Pause between attempts at seeds, in seconds, until one has answered.
+# Pause between attempts until a seed has answered, in seconds.
 RETRY_S = 1.0
-# Later a seed that is not a member is asked by all processes together about
-# this often, in seconds, and by each no more often than RECALL_S.
-SEED_S = 0.05
-RECALL_S = 10.0
-# Records that a seed gives a newcomer; the rest comes by anti-entropy, from
-# many members in place of a few seeds.
-GREETING = 16
-# Time for each of two probes of a newcomer.
-REACH_S = 0.4
+# Afterwards the fleet as a whole asks seeds that are not members about once
+# per SEED_INTERVAL_S, and each process at most once per MIN_ASK_INTERVAL_S.
+SEED_INTERVAL_S = 0.05
+MIN_ASK_INTERVAL_S = 10.0
+# Records in a Greeting.  The newcomer gets the rest by anti-entropy, which
+# spreads the load over many members instead of the few seeds.
+GREETING_RECORDS = 16
+# Timeout of the probe of a newcomer, in seconds.
+PROBE_TIMEOUT_S = 0.4
 
 LOG = logs.get('membership')
 
 
 class Joining(mode.Service):
-    """Asks seeds until one answers, and answers as a seed.
+    """Asks the seeds that are not members, and answers as a seed.
 
     :param table: the table of hosts.
-    :param flooder: passes records on.
+    :param flooder: accepts and forwards records.
     :param prober: probes newcomers.
-    :param dead_prober: probes hosts that others believe alive.
+    :param dead_prober: probes dead hosts that others believe alive.
     :param transport: the messages of this process.
-    :param seeds: addresses for messages of some processes.
+    :param seeds: ``ip:port`` of the links of some processes.
     :param rng: the source of randomness.
     """
 
@@ -62,38 +62,43 @@
         own = table.me.member.peer
         self.seeds = tuple(seed for seed in seeds if seed != own)
         self.rng = rng
-        transport.handle(messages.Hello, self._hello)
+        transport.handle(messages.Hello, self._handle_hello)
 
     @mode.Service.task
-    async def _join(self) -> None:
-        """Ask the seeds that are not members, for ever.
+    async def _ask_missing_seeds(self) -> None:
+        """Ask the seeds that are not members, until the service stops.
 
-        Were it to end once a seed answered, two halves of a fleet that were
-        apart until they forgot each other would never meet again.
+        If this ended after the first answer, two halves of a fleet that were
+        disconnected until they forgot each other would never rejoin.
         """
         while not self.should_stop:
-            seeds = self.missing()
+            seeds = self.missing_seeds()
             if seeds:
-                await self._ask(self.rng.choice(seeds))
-            await asyncio.sleep(self._pause() * self.rng.uniform(0.5, 1.5))
+                await self._ask_seed(self.rng.choice(seeds))
+            await asyncio.sleep(self._pause_s() * self.rng.uniform(0.5, 1.5))
 
-    def missing(self) -> list[str]:
-        """Return the seeds that are not believed alive."""
+    def missing_seeds(self) -> list[str]:
+        """Return the seeds that are not among the members believed alive."""
         alive = {entry.member.peer for entry in self.table.up()}
         return [seed for seed in self.seeds if seed not in alive]
 
-    def _pause(self) -> float:
+    def _pause_s(self) -> float:
         """Return the seconds until the next attempt.
 
-        A seed that comes back must not be met by the whole fleet at once.
+        It grows with the fleet, so that a seed that restarts isn't contacted
+        by all processes at once.
         """
         others = len(self.table.up()) - 1
-        return max(RECALL_S, SEED_S * others) if others else RETRY_S
+        return (
+            max(MIN_ASK_INTERVAL_S, SEED_INTERVAL_S * others)
+            if others
+            else RETRY_S
+        )
 
-    async def _ask(self, seed: str) -> None:
-        mine = self.table.me.record
+    async def _ask_seed(self, seed: str) -> None:
+        own_record = self.table.me.record
         result = await self.transport.call(
-            seed, messages.Hello(mine), TIMEOUT_S
+            seed, messages.Hello(own_record), TIMEOUT_S
         )
         if result.is_error():
             LOG.debug('A seed does not answer.', seed=seed)
@@ -101,17 +106,17 @@
         if result.ok.incarnation:
             self.table.outdated(result.ok.incarnation)
         self.flooder.accept(result.ok.records, forward=False)
-        # After a long cut they are known and believed dead.
+        # After a long partition these hosts are known but believed dead.
         for record in result.ok.records:
             self.dead_prober.probe_soon(record.host)
 
-    async def _hello(
+    async def _handle_hello(
         self, _sender: str, hello: messages.Hello
     ) -> messages.Greeting | None:
-        """Let a process join, once a round trip shows that it hears us.
+        """Admit a process once a probe shows that datagrams pass both ways.
 
-        One whose datagrams get through in one direction only would be
-        believed alive by all until each had found out for itself.
+        A process with datagrams in one direction only would otherwise be
+        believed alive by every member until each had probed it.
         """
         record = hello.record
         body = messages.unpack(record.body)
@@ -121,17 +126,19 @@
         if known is not None and known.record.version > record.version:
             return messages.Greeting(known.record.incarnation, ())
         stranger = tables.Entry(record, tables.member(record, body), 0.0)
-        if not await self.prober.reach(known or stranger, REACH_S):
+        if not await self.prober.probe_directly(
+            known or stranger, PROBE_TIMEOUT_S
+        ):
             return None
         self.flooder.accept((record,))
-        return messages.Greeting(0, self._sample(record.host))
+        return messages.Greeting(0, self._greeting_records(record.host))
 
-    def _sample(self, newcomer: str) -> tuple[messages.Record, ...]:
+    def _greeting_records(self, newcomer: str) -> tuple[messages.Record, ...]:
         """Return the own record and those of some other members."""
         others = [
             entry.record
             for entry in self.table.up()
             if entry.member.host not in (newcomer, self.table.host)
         ]
-        chosen = self.rng.sample(others, min(GREETING, len(others)))
+        chosen = self.rng.sample(others, min(GREETING_RECORDS, len(others)))
         return (self.table.me.record, *chosen)
--- a/carawaystair/membership/messages.py
+++ b/carawaystair/membership/messages.py
@@ -1,6 +1,6 @@
-"""The messages and records of membership.
+"""Messages between the membership services, and the records of hosts.
 
-Wire numbers 60 to 79.  Links carry records; datagrams carry probes.
+Wire numbers 60 to 79.  Records travel over links, probes in datagrams.
 """
 
 import typing
@@ -12,29 +12,30 @@
 from carawaystair.membership import bounds
 from carawaystair import wire
 
-# Liveness of a host, as it travels.
+# Liveness states of a host, as encoded in messages.
 ALIVE = 0
 SUSPECT = 1
 DEAD = 2
 LEFT = 3
 STATE_NAMES = ('alive', 'suspect', 'dead', 'left')
 
-# The incarnation of a host's liveness counts the starts of its process in the
-# upper bits and the refutations of each start in these lower bits.
+# The liveness incarnation of a host holds the start number of its process in
+# the upper bits and the number of refutations since then in these lower bits.
 REFUTATION_BITS = bounds.REFUTATION_BITS
 
-# States of an upstream inside a record; those gone are absent from it.
+# States of an upstream inside a record; a record omits upstreams that left.
 STATES = (interfaces.UP, interfaces.DRAINING)
 MILLI = bounds.MILLI
-# A body is compressed, which halves it: in memory, on the wire, and so that
-# it fits a datagram.  Larger than this it is refused before it is inflated:
-# a few hundred bytes could otherwise ask for gigabytes.
+# Upper limit of a decompressed body.  Bodies are compressed, which halves
+# their size in memory and on the wire and lets them fit a datagram.
+# Decompression stops at the limit: a few hundred compressed bytes could
+# otherwise expand to gigabytes.
 MAX_BODY_BYTES = 64 * 1024
 RAW_DEFLATE = -15
 
 
 def first_incarnation(start: int) -> int:
-    """Return the liveness incarnation that a process starts with.
+    """Return the first liveness incarnation of a process.
 
     :param start: the incarnation of its record.
     """
@@ -42,22 +43,23 @@
 
 
 def process_start(incarnation: int) -> int:
-    """Return the start of the process that a liveness is about."""
+    """Return the process start number inside a liveness incarnation."""
     return incarnation >> REFUTATION_BITS
 
 
 class Row(typing.NamedTuple):
     """One upstream inside a record.
 
-    :param id: its id.
-    :param service: its service.
+    :param id: id of the upstream.
+    :param service: name of its service.
     :param address: ``ip:port``.
-    :param slots: requests at once.
-    :param weight: thousandths of a normal share.
+    :param slots: number of requests that it serves at the same time.
+    :param weight: weight for balancing, in thousandths of the normal weight.
     :param warmup_ms: milliseconds from its start to full load.
     :param state: index into :data:`STATES`.
-    :param incarnation: grows with every start of the upstream.
-    :param sequence: the record's sequence at its last change.
+    :param incarnation: increases with every start of the upstream.
+    :param sequence: sequence number of the record at the last change of the
+        upstream.
     """
 
     id: str
@@ -72,14 +74,14 @@
 
 
 class Body(typing.NamedTuple):
-    """What a record says.
+    """Contents of a record.
 
     :param data_centre: the data centre of the host.
     :param region: the region of the data centre.
-    :param peer: ``ip:port`` for messages.
-    :param gossip: ``ip:port`` for datagrams.
-    :param control: whether it is a control host only.
-    :param upstreams: the upstreams of the host that are not gone.
+    :param peer: ``ip:port`` that accepts links.
+    :param gossip: ``ip:port`` that accepts datagrams.
+    :param control: whether the host is a control host only.
+    :param upstreams: the upstreams of the host, without those that left.
     """
 
     data_centre: str
@@ -91,19 +93,20 @@
 
 
 class Record(typing.NamedTuple):
-    """All that one host announces, numbered by its process.
+    """Everything that one host announces, versioned by its process.
 
-    The newest whole record of a host stands; an upstream that is missing
-    from it is gone.  So a late, older announcement can't bring back an
-    upstream that left, and no tombstone per upstream is needed.
+    A newer record replaces the older one as a whole; an upstream that is
+    missing from it has left.  A delayed older record can therefore not bring
+    back an upstream that left, and no tombstone per upstream is needed.
 
-    :param host: the host.
-    :param incarnation: start of its process, grows with every start.
-    :param sequence: grows with every change within an incarnation.
+    :param host: name of the host.
+    :param incarnation: start number of its process; increases with every
+        start.
+    :param sequence: increases with every change within an incarnation.
     :param left: whether the process has left for good; the record is then
         the tombstone of the host.
-    :param body: an encoded :class:`Body`; stays encoded where it is kept
-        and passed on.
+    :param body: an encoded :class:`Body`; stored and forwarded in encoded
+        form.
     """
 
     host: str
@@ -114,13 +117,13 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return what orders the records of one host."""
+        """Return the version by which records of one host are ordered."""
         return self.incarnation, self.sequence
 
 
 @wire.register(60)
 class Hello(typing.NamedTuple):
-    """A process asks a seed to let it join; answered by a Greeting.
+    """Asks a seed to admit the sender to the fleet; answered by a Greeting.
 
     :param record: the record of the process.
     """
@@ -130,11 +133,11 @@
 
 @wire.register(61)
 class Greeting(typing.NamedTuple):
-    """The answer to a Hello.
+    """Answers a Hello.
 
-    :param incarnation: highest known of the process that asked; one that
-        is not above it must raise its own.
-    :param records: records of some members, whom to ask for the rest.
+    :param incarnation: highest incarnation known of the process that asked,
+        which must raise its own above it; 0 when the process was admitted.
+    :param records: records of some members, which can be asked for the rest.
     """
 
     incarnation: int
@@ -143,7 +146,7 @@
 
 @wire.register(62)
 class Batch(typing.NamedTuple):
-    """Records that are new to the sender, passed on over the overlay.
+    """Records that are new to the sender, forwarded along the overlay.
 
     :param records: the records.
     """
@@ -153,9 +156,10 @@
 
 @wire.register(63)
 class Taken(typing.NamedTuple):
-    """The answer to a Batch: its records arrived.
+    """Acknowledges a Batch.
 
-    :param newer: records of which the receiver holds newer ones.
+    :param newer: the receiver's records of hosts for which it holds a newer
+        one than the batch.
     """
 
     newer: tuple[Record, ...] = ()
@@ -163,7 +167,7 @@
 
 @wire.register(76)
 class Offer(typing.NamedTuple):
-    """Names records that the sender can pass on; answered by a Wanted.
+    """Lists record versions that the sender can send; answered by a Wanted.
 
     :param versions: encoded by :func:`pack_versions`.
     """
@@ -173,28 +177,28 @@
 
 @wire.register(77)
 class Wanted(typing.NamedTuple):
-    """The answer to an Offer.
+    """Answers an Offer.
 
     :param hosts: hosts whose records the receiver lacks.
-    :param expected: hosts whose records it lacks as well, but has asked
-        another process for; to be offered once more.
+    :param already_requested: hosts whose records it lacks, too, but has
+        requested from another process; these are to be offered again.
     """
 
     hosts: tuple[str, ...]
-    expected: tuple[str, ...] = ()
+    already_requested: tuple[str, ...] = ()
 
 
-# Which digests a comparison is about.
+# Kinds of digests that can be compared.
 RECORDS = 0
 LIVENESS = 1
 
 
 @wire.register(64)
 class Compare(typing.NamedTuple):
-    """A question of anti-entropy; answered by a Differ.
+    """Compares digests for anti-entropy; answered by a Differ.
 
     :param kind: :data:`RECORDS` or :data:`LIVENESS`.
-    :param buckets: the digests of the sender's buckets, 8 bytes each.
+    :param buckets: digests of the sender's buckets, 8 bytes each.
     """
 
     kind: int
@@ -202,11 +206,11 @@
 
 
 class Version(typing.NamedTuple):
-    """What a process holds of one host.
+    """The version that a process holds of one host.
 
-    :param host: the host.
-    :param incarnation: of its record, or of its liveness.
-    :param sequence: of its record; 0 for liveness.
+    :param host: name of the host.
+    :param incarnation: incarnation of its record, or of its liveness.
+    :param sequence: sequence number of its record; 0 for liveness.
     """
 
     host: str
@@ -216,10 +220,10 @@
 
 @wire.register(65)
 class Differ(typing.NamedTuple):
-    """The hosts in some of the buckets that differ.
+    """Answers a Compare with the hosts in some of the buckets that differ.
 
-    :param buckets: the buckets covered.
-    :param versions: what the answering process holds in them.
+    :param buckets: numbers of the buckets that the answer covers.
+    :param versions: versions that the answering process holds in them.
     """
 
     buckets: tuple[int, ...]
@@ -228,35 +232,35 @@
 
 @wire.register(66)
 class Fetch(typing.NamedTuple):
-    """Asks for the records of some hosts; answered by Records."""
+    """Requests the records of some hosts; answered by Records."""
 
     hosts: tuple[str, ...]
 
 
 @wire.register(67)
 class Records(typing.NamedTuple):
-    """Records that were asked for; none when the process is too busy."""
+    """Answers a Fetch; empty when the sender has used up its byte rate."""
 
     records: tuple[Record, ...]
 
 
 class News(typing.NamedTuple):
-    """What somebody says of a host's liveness.
+    """A statement about the liveness of a host.
 
-    :param host: the host.
+    :param host: name of the host.
     :param state: :data:`ALIVE`, :data:`SUSPECT` or :data:`DEAD`.
-    :param incarnation: the incarnation that it is said of.
-    :param by: who suspects it; empty otherwise.
+    :param incarnation: liveness incarnation that the statement refers to.
+    :param suspected_by: the host that suspects it; empty for other states.
     """
 
     host: str
     state: int
     incarnation: int
-    by: str = ''
+    suspected_by: str = ''
 
 
 class Digests(typing.NamedTuple):
-    """What two processes compare with every probe.
+    """The digests that two processes compare with every probe.
 
     :param records: digest of the records of live hosts.
     :param liveness: digest of the incarnations of live hosts.
@@ -270,17 +274,18 @@
 class Ping(typing.NamedTuple):
     """A direct probe; answered by an Ack.
 
-    :param to: the host that is meant: another one may have its address now.
-    :param nonce: pairs the Ack with it.
-    :param known: the incarnation that the sender knows of ``to``.
+    :param target: the probed host; another host may have taken over its
+        address.
+    :param nonce: matches the Ack to the Ping.
+    :param known_incarnation: incarnation of the target known to the sender.
     :param host: the sender's host.
     :param digests: the sender's digests.
-    :param news: what spreads with it.
+    :param news: liveness news piggybacked on the probe.
     """
 
-    to: str
+    target: str
     nonce: int
-    known: int
+    known_incarnation: int
     host: str
     digests: Digests
     news: tuple[News, ...] = ()
@@ -288,13 +293,13 @@
 
 @wire.register(69)
 class Ack(typing.NamedTuple):
-    """The answer to a Ping.
+    """Answers a Ping.
 
-    :param nonce: of the Ping.
+    :param nonce: nonce of the Ping.
     :param host: the host that answers.
-    :param incarnation: its incarnation.
+    :param incarnation: its liveness incarnation.
     :param digests: its digests.
-    :param news: what spreads with it.
+    :param news: liveness news piggybacked on the answer.
     """
 
     nonce: int
@@ -306,23 +311,23 @@
 
 @wire.register(70)
 class Relay(typing.NamedTuple):
-    """Asks another process to probe a host; answered by a Relayed.
+    """Requests an indirect probe from a helper; answered by a Relayed.
 
-    :param to: the host to probe.
-    :param nonce: pairs the answer with it.
+    :param target: the host to probe.
+    :param nonce: matches the answer to the request.
     """
 
-    to: str
+    target: str
     nonce: int
 
 
 @wire.register(71)
 class Relayed(typing.NamedTuple):
-    """The answer to a Relay.
+    """Answers a Relay.
 
-    :param nonce: of the Relay.
-    :param reached: whether the host answered.
-    :param incarnation: the incarnation that it answered with.
+    :param nonce: nonce of the Relay.
+    :param reached: whether the probed host answered.
+    :param incarnation: incarnation of the probed host known to the helper.
     """
 
     nonce: int
@@ -332,7 +337,7 @@
 
 @wire.register(72)
 class Rumour(typing.NamedTuple):
-    """News on its own, while there is some.
+    """Liveness news sent without a probe, while any is queued.
 
     :param host: the sender's host.
     :param news: the news.
@@ -344,17 +349,17 @@
 
 @wire.register(73)
 class Push(typing.NamedTuple):
-    """A record, straight from its host to one that sends there."""
+    """A record sent directly by its host to a registered process."""
 
     record: Record
 
 
 @wire.register(74)
 class Pushed(typing.NamedTuple):
-    """The answer to a Push: it arrived.
+    """Acknowledges a Push.
 
-    :param incarnation: of the record.
-    :param sequence: of the record.
+    :param incarnation: incarnation of the record.
+    :param sequence: sequence number of the record.
     """
 
     incarnation: int
@@ -363,7 +368,7 @@
 
 @wire.register(75)
 class Interest(typing.NamedTuple):
-    """Tells a host that the sender sends requests to its upstreams.
+    """Registers the sender as a process that uses upstreams of the host.
 
     :param host: the sender's host.
     """
@@ -382,23 +387,23 @@
 
 
 def pack_versions(versions: tuple[Version, ...]) -> bytes:
-    """Encode versions; names of hosts have much in common."""
+    """Encode versions, compressed since host names resemble each other."""
     return zlib.compress(_ENCODER.encode(versions), wbits=RAW_DEFLATE)
 
 
 def unpack_versions(data: bytes) -> tuple[Version, ...] | None:
-    """Decode versions; None where they are malformed or too many."""
+    """Decode versions; return None if they are malformed or too large."""
     return _inflate(data, _VERSIONS)
 
 
 def ends_upstreams(old: Record | None, new: Record) -> bool:
-    """Tell whether a record ends work at upstreams of the former one.
+    """Tell whether upstreams of the old record stop taking new requests.
 
-    Nodes must hear of that at once, or they send new work there.
+    Nodes must learn this at once, or they keep sending requests there.
     """
     if new.left:
         return True
-    before, after = _states(old), _states(new)
+    before, after = _upstream_states(old), _upstream_states(new)
     return any(
         after.get(name) != interfaces.UP
         for name, state in before.items()
@@ -410,8 +415,8 @@
     )
 
 
-def _states(record: Record | None) -> dict[tuple[str, int], str]:
-    """Return the states of upstreams in a record, by id and incarnation."""
+def _upstream_states(record: Record | None) -> dict[tuple[str, int], str]:
+    """Return the states of a record's upstreams by id and incarnation."""
     body = None if record is None else unpack(record.body)
     if body is None:
         return {}
@@ -421,10 +426,10 @@
 
 
 class Unpacked(typing.NamedTuple):
-    """What the body of a record holds.
+    """The decoded body of a record.
 
-    :param body: None when it is malformed.
-    :param left_out: upstreams of it that can't be, and are not in it.
+    :param body: None when the body is malformed.
+    :param left_out: number of upstreams that were dropped as invalid.
     """
 
     body: Body | None
@@ -432,12 +437,12 @@
 
 
 def unpack(data: bytes) -> Body | None:
-    """Decode the body of a record, see :func:`read`."""
+    """Decode the body of a record, see :func:`unpack_usable`."""
     return unpack_usable(data).body
 
 
 def unpack_usable(data: bytes) -> Unpacked:
-    """Decode the body of a record, without the upstreams that can't be."""
+    """Decode the body of a record and drop upstreams with invalid values."""
     body = _decode(data)
     if body is None or all(map(bounds.row_ok, body.upstreams)):
         return Unpacked(body)
@@ -452,7 +457,7 @@
 
 
 def _inflate(data: bytes, decoder: msgspec.msgpack.Decoder) -> typing.Any:
-    """Decode compressed msgpack; None where it is malformed or too large."""
+    """Decode compressed msgpack; return None if malformed or too large."""
     inflater = zlib.decompressobj(RAW_DEFLATE)
     try:
         text = inflater.decompress(data, MAX_BODY_BYTES)
--- a/carawaystair/membership/overlay.py
+++ b/carawaystair/membership/overlay.py
@@ -1,15 +1,15 @@
-"""The overlay: whom each process passes records on to.
-
-The hosts of a data centre stand on a ring in the order of their hashes.  Each
-feeds those at 1, 2, 4, 12, 36, ... places after it (the fingers of Chord,
-Stoica et al., 2001), so it has about log3(n) links out and as many in.
-
-Data centres stand on a ring of their own with the same fingers.  From each to
-each of its successors there, a few hosts have a link, chosen by rendezvous
-hashing (Thaler and Ravishankar, 1998) so that a host that comes or goes moves
-few links.  So a record crosses between two data centres a few times, however
-many hosts they have.  Every process works its links out alone from the
-members it knows.
+"""Overlay network: the neighbours to which each process forwards records.
+
+The hosts of a data centre form a hash ring.  Each host has links to the hosts
+at distances 1, 2, 4, 12, 36, ... after it (the fingers of Chord, Stoica et
+al., 2001), which makes about log3(n) outgoing and as many incoming links.
+
+The data centres form a second ring with the same distances.  From each data
+centre to each of its successors a few hosts have a link.  They are chosen by
+rendezvous hashing (Thaler and Ravishankar, 1998), so that a host that joins or
+leaves moves few links.  A record is therefore sent between two data centres
+only a few times, independent of their size.  Every process computes its links
+from its own list of members.
 """
 
 import bisect
@@ -19,66 +19,68 @@
 
 import xxhash
 
-# The first distances, so that small fleets have links to spare, and the ratio
-# between those that follow.
-FIRST = (1, 2, 4)
-BASE = 3
-# Links from one data centre to another one; the loss of all but one is borne
-# until it is noticed.
+# The first distances, which give small fleets redundant links, and the ratio
+# between the distances that follow.
+FIRST_DISTANCES = (1, 2, 4)
+DISTANCE_RATIO = 3
+# Links from one data centre to another.  Records still get through while all
+# but one of them have failed and the failures are not detected yet.
 LINKS_BETWEEN_CENTRES = 3
-# Hashes that are remembered, four for each host of the size designed for.
-MOST_HASHES = 10_000
+# Cached hashes: four per host at the maximum fleet size of the design.
+MAX_CACHED_HASHES = 10_000
 
 
-@functools.lru_cache(MOST_HASHES)
-def place(name: str) -> int:
-    """Return the place of a host or data centre on its ring."""
+@functools.lru_cache(MAX_CACHED_HASHES)
+def ring_position(name: str) -> int:
+    """Return the position of a host or data centre on its ring."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def neighbours(
-    host: str, centres: typing.Mapping[str, str], base: int = BASE
+    host: str, centres: typing.Mapping[str, str], ratio: int = DISTANCE_RATIO
 ) -> tuple[str, ...]:
-    """Return the hosts that ``host`` feeds.
+    """Return the hosts to which ``host`` forwards records.
 
     :param host: the own host.
-    :param centres: the data centres of the hosts believed alive, by host; its
-        own must be among them.
-    :param base: ratio between the distances.
+    :param centres: data centres by host, for all hosts believed alive; must
+        include the own host.
+    :param ratio: ratio between successive distances.
     """
     by_centre: dict[str, list[str]] = {}
     for name, centre in centres.items():
         by_centre.setdefault(centre, []).append(name)
     own = centres[host]
-    near = _after(host, by_centre[own], base)
+    near = _successors(host, by_centre[own], ratio)
     far = itertools.chain.from_iterable(
-        _links(host, by_centre[own], own, by_centre[centre], centre)
-        for centre in _after(own, by_centre, base)
+        _links_to_centre(host, by_centre[own], own, by_centre[centre], centre)
+        for centre in _successors(own, by_centre, ratio)
     )
     return tuple(dict.fromkeys((*near, *far)))
 
 
-def _after(
-    name: str, names: typing.Iterable[str], base: int
+def _successors(
+    name: str, names: typing.Iterable[str], ratio: int
 ) -> tuple[str, ...]:
-    """Return those at the distances after a name on the ring of all."""
-    ring = sorted((place(other), other) for other in names if other != name)
-    start = bisect.bisect(ring, (place(name), name))
-    steps = _steps(len(ring), base)
-    places = ((start + step - 1) % len(ring) for step in steps)
-    return tuple(dict.fromkeys(ring[index][1] for index in places))
+    """Return the names at the link distances after ``name`` on the ring."""
+    ring = sorted(
+        (ring_position(other), other) for other in names if other != name
+    )
+    start = bisect.bisect(ring, (ring_position(name), name))
+    distances = _distances(len(ring), ratio)
+    indexes = ((start + distance - 1) % len(ring) for distance in distances)
+    return tuple(dict.fromkeys(ring[index][1] for index in indexes))
 
 
-def _links(
+def _links_to_centre(
     host: str,
     near: typing.Iterable[str],
     own: str,
     far: typing.Iterable[str],
     centre: str,
 ) -> tuple[str, ...]:
-    """Return the hosts of another data centre that a host has a link to."""
-    sources = _ranked(near, centre)
-    targets = _ranked(far, own)
+    """Return the hosts in another data centre to which ``host`` has links."""
+    sources = _link_hosts(near, centre)
+    targets = _link_hosts(far, own)
     return tuple(
         targets[link % len(targets)]
         for link in range(LINKS_BETWEEN_CENTRES)
@@ -86,19 +88,21 @@
     )
 
 
-def _ranked(hosts: typing.Iterable[str], centre: str) -> list[str]:
-    """Return the hosts with the most weight for a data centre, best first."""
-    return sorted(hosts, key=lambda name: _weight(name, centre))[
+def _link_hosts(hosts: typing.Iterable[str], centre: str) -> list[str]:
+    """Return the hosts that hold the links with a data centre, in order."""
+    return sorted(hosts, key=lambda name: _rendezvous_hash(name, centre))[
         :LINKS_BETWEEN_CENTRES
     ]
 
 
-@functools.lru_cache(MOST_HASHES)
-def _weight(host: str, centre: str) -> int:
+@functools.lru_cache(MAX_CACHED_HASHES)
+def _rendezvous_hash(host: str, centre: str) -> int:
     return xxhash.xxh3_64_intdigest(('%s\0%s' % (host, centre)).encode())
 
 
-def _steps(size: int, base: int) -> typing.Iterator[int]:
-    later = (FIRST[-1] * base**power for power in itertools.count(1))
-    steps = itertools.chain(FIRST, later)
-    return itertools.takewhile(lambda step: step <= size, steps)
+def _distances(size: int, ratio: int) -> typing.Iterator[int]:
+    later = (
+        FIRST_DISTANCES[-1] * ratio**power for power in itertools.count(1)
+    )
+    distances = itertools.chain(FIRST_DISTANCES, later)
+    return itertools.takewhile(lambda distance: distance <= size, distances)
--- a/carawaystair/membership/suspicion.py
+++ b/carawaystair/membership/suspicion.py
@@ -1,9 +1,10 @@
-"""Suspicion: the time that a host has to prove that it lives.
+"""Suspicions of hosts, and the timeouts after which they are declared dead.
 
-A host that fails a probe is suspected, not dead.  Its time shrinks as others
-fail to reach it on their own account, and is bounded below by the time that
-news takes both ways, which grows with log n (Lifeguard, Dadgar, Phillips and
-Currey, 2018: LHA-Suspicion).
+A host that fails a probe is first suspected, and can refute that until the
+suspicion times out.  The timeout shrinks as other processes confirm the
+suspicion with probes of their own.  Its lower bound is the time that news
+needs to reach the host and return, which grows with log n (Lifeguard, Dadgar,
+Phillips and Currey, 2018: LHA-Suspicion).
 """
 
 import asyncio
@@ -18,65 +19,74 @@
 from carawaystair.membership import news_queue
 from carawaystair.membership import table as tables
 
-# Least time of suspicion, as a multiple of log10(n) and the probe period.
-MULTIPLIER = 3
-# Greatest time, as a multiple of the least.
-MAX_FACTOR = 5
-# Processes that must suspect it, besides the first, for the least time.
+# Minimum timeout of a suspicion, as a multiple of log10(n) probe periods.
+MIN_TIMEOUT_MULTIPLIER = 3
+# Maximum timeout, as a multiple of the minimum.
+MAX_TIMEOUT_FACTOR = 5
+# Confirmations by further processes that reduce the timeout to the minimum.
 CONFIRMATIONS = 3
-SWEEP_S = 0.1
-# Without a suspicion there is less to look at; each wakeup costs some 80 us.
-IDLE_S = 0.5
-# Last probes under way at once; further hosts wait for the next sweep.
-MAX_LAST = 64
-# A sweep that comes later than this shows that the process stood still.
-LATE_S = 0.25
+SWEEP_INTERVAL_S = 0.1
+# Interval without any suspicion; a wakeup costs about 80 us.
+IDLE_INTERVAL_S = 0.5
+# Concurrent final probes; further hosts wait for the next sweep.
+MAX_FINAL_PROBES = 64
+# A sweep delayed by more than this indicates that the process was paused.
+PAUSE_THRESHOLD_S = 0.25
 
 LOG = logs.get('membership')
 
 
-class Case:
+class Suspicion:
     """The suspicion of one host.
 
-    :ivar incarnation: the incarnation that it is about.
-    :ivar began: monotonic time at which it began.
-    :ivar by: the hosts that suspect it.
-    :ivar condemned: whether another process has declared the host dead.
-    :ivar closing: whether the last probe is under way.
+    :ivar incarnation: the suspected liveness incarnation of the host.
+    :ivar began: monotonic time at which the suspicion began.
+    :ivar suspected_by: the hosts that suspect it.
+    :ivar reported_dead: whether another process has declared the host dead.
+    :ivar final_probe_running: whether the final probe is in progress.
     """
 
-    __slots__ = ('incarnation', 'began', 'by', 'condemned', 'closing')
+    __slots__ = (
+        'incarnation',
+        'began',
+        'suspected_by',
+        'reported_dead',
+        'final_probe_running',
+    )
 
     def __init__(self, incarnation: int, began: float) -> None:
         self.incarnation = incarnation
         self.began = began
-        self.by: set[str] = set()
-        self.condemned = False
-        self.closing = False
+        self.suspected_by: set[str] = set()
+        self.reported_dead = False
+        self.final_probe_running = False
 
-    def time_s(self, least_s: float, needed: int) -> float:
-        """Return how long the host has, from the beginning.
+    def timeout_s(self, min_timeout_s: float, needed: int) -> float:
+        """Return the timeout, in seconds from the beginning.
 
-        :param least_s: least time, in seconds.
-        :param needed: confirmations that bring it down to the least.
+        :param min_timeout_s: minimum timeout, in seconds.
+        :param needed: confirmations that reduce the timeout to the minimum.
         """
         if needed < 1:
-            return least_s
-        greatest_s = least_s * MAX_FACTOR
-        confirmed = max(len(self.by) - 1, 0)
+            return min_timeout_s
+        max_timeout_s = min_timeout_s * MAX_TIMEOUT_FACTOR
+        confirmed = max(len(self.suspected_by) - 1, 0)
         share = math.log(confirmed + 1) / math.log(needed + 1)
-        return max(least_s, greatest_s - (greatest_s - least_s) * share)
+        return max(
+            min_timeout_s,
+            max_timeout_s - (max_timeout_s - min_timeout_s) * share,
+        )
 
 
 class Suspicions(mode.Service):
-    """The suspected hosts, and what becomes of them.
+    """Tracks suspected hosts until they refute it or are declared dead.
 
     :param table: the table of hosts.
-    :param queue: takes news to spread.
-    :param period_s: period of probes, in seconds.
-    :param isolated: tells whether this process has reached nobody since a
-        time.
-    :param reach: probes a host directly.
+    :param queue: the queue of news to send.
+    :param period_s: probe period, in seconds.
+    :param isolated: returns whether this process has reached no other process
+        since a monotonic time.
+    :param probe: probes a host directly.
     """
 
     def __init__(
@@ -85,7 +95,7 @@
         queue: news_queue.Queue,
         period_s: float,
         isolated: typing.Callable[[float], bool],
-        reach: typing.Callable[[tables.Entry], typing.Awaitable[bool]],
+        probe: typing.Callable[[tables.Entry], typing.Awaitable[bool]],
         **kwargs,
     ) -> None:
         super().__init__(**kwargs)
@@ -93,17 +103,17 @@
         self.queue = queue
         self.period_s = period_s
         self.isolated = isolated
-        self.reach = reach
-        self.cases: dict[str, Case] = {}
-        self.closing: set[asyncio.Task] = set()
-        # Called with the seconds for which the process stood still.
+        self.probe = probe
+        self.active: dict[str, Suspicion] = {}
+        self.final_probes: set[asyncio.Task] = set()
+        # Called with the seconds for which the process was paused.
         self.pause_listeners: list[typing.Callable[[float], None]] = []
-        table.listeners.append(self._changed)
+        table.listeners.append(self._on_table_change)
 
     def suspect(self, entry: tables.Entry) -> None:
-        """Suspect a host that failed a probe of this process."""
+        """Suspect a host that failed a probe by this process."""
         member = entry.member
-        self.take(
+        self.receive(
             messages.News(
                 member.host,
                 messages.SUSPECT,
@@ -112,23 +122,23 @@
             )
         )
 
-    def take(self, news: messages.News) -> None:
-        """Take in news, and spread it when it is new here."""
+    def receive(self, news: messages.News) -> None:
+        """Process received news, and queue it for sending if it is new."""
         if news.state == messages.DEAD:
-            self._hear_death(news)
+            self._receive_death(news)
             return
-        fresh = self.table.hear(news.host, news.state, news.incarnation)
+        is_new = self.table.hear(news.host, news.state, news.incarnation)
         if news.state == messages.SUSPECT:
-            fresh = self._confirm(news) or fresh
-        if fresh:
+            is_new = self._add_confirmation(news) or is_new
+        if is_new:
             self.queue.add(news)
 
-    def _hear_death(self, news: messages.News) -> None:
-        """Take in that others hold a host for dead.
+    def _receive_death(self, news: messages.News) -> None:
+        """Process news that another process declared a host dead.
 
-        Were their word enough, one side of a one-way partition would talk
-        the other side into burying its own members.  So the host is only
-        suspected, and probed a last time from here.
+        If such news were accepted as it is, one side of a one-way partition
+        would make the other side declare its own members dead.  The host is
+        therefore only suspected, and gets a final probe from this process.
         """
         entry = self.table.entries.get(news.host)
         believed = entry is not None and entry.up
@@ -136,99 +146,112 @@
             self.table.hear(news.host, messages.DEAD, news.incarnation)
             return
         self.table.hear(news.host, messages.SUSPECT, news.incarnation)
-        case = self.cases.get(news.host)
-        if case is not None and case.incarnation == news.incarnation:
-            case.condemned = True
+        suspicion = self.active.get(news.host)
+        if suspicion is not None and suspicion.incarnation == news.incarnation:
+            suspicion.reported_dead = True
 
-    def least_s(self) -> float:
-        """Return the least time of a suspicion, in seconds."""
+    def min_timeout_s(self) -> float:
+        """Return the minimum timeout of a suspicion, in seconds."""
         size = max(len(self.table.up()), 1)
-        return MULTIPLIER * max(1.0, math.log10(size)) * self.period_s
+        return (
+            MIN_TIMEOUT_MULTIPLIER * max(1.0, math.log10(size)) * self.period_s
+        )
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """End the suspicions whose time is over."""
+        """Check for suspicions that timed out, and for pauses."""
         last = clock.now()
         while not self.should_stop:
-            pause_s = SWEEP_S if self.cases else IDLE_S
+            pause_s = SWEEP_INTERVAL_S if self.active else IDLE_INTERVAL_S
             await asyncio.sleep(pause_s)
             now = clock.now()
-            late = now - last - pause_s
+            late_s = now - last - pause_s
             last = now
-            if late > LATE_S:
+            if late_s > PAUSE_THRESHOLD_S:
                 for callback in self.pause_listeners:
-                    callback(late)
+                    callback(late_s)
             self.expire(now)
 
     async def on_stop(self) -> None:
-        """Drop the last probes."""
-        for task in self.closing:
+        """Cancel the final probes."""
+        for task in self.final_probes:
             task.cancel()
 
     def expire(self, now: float) -> None:
-        """Turn to the hosts that nobody reached in time."""
-        over = [
+        """Start final probes of hosts whose suspicion timed out.
+
+        :param now: monotonic time.
+        """
+        timed_out = [
             host
-            for host, case in self.cases.items()
-            if not case.closing and self._over(case, now)
+            for host, suspicion in self.active.items()
+            if not suspicion.final_probe_running
+            and self._timed_out(suspicion, now)
         ]
-        for host in over[: MAX_LAST - len(self.closing)]:
-            task = asyncio.create_task(self._close(host, self.cases[host]))
-            self.closing.add(task)
-            task.add_done_callback(self.closing.discard)
-
-    def _over(self, case: Case, now: float) -> bool:
-        """Tell whether the time of a suspicion is over."""
-        if case.condemned:
+        for host in timed_out[: MAX_FINAL_PROBES - len(self.final_probes)]:
+            task = asyncio.create_task(
+                self._make_final_probe(host, self.active[host])
+            )
+            self.final_probes.add(task)
+            task.add_done_callback(self.final_probes.discard)
+
+    def _timed_out(self, suspicion: Suspicion, now: float) -> bool:
+        """Tell whether it timed out or another process reported a death."""
+        if suspicion.reported_dead:
             return True
         needed = min(CONFIRMATIONS, len(self.table.up()) - 2)
-        return now >= case.began + case.time_s(self.least_s(), needed)
+        return now >= suspicion.began + suspicion.timeout_s(
+            self.min_timeout_s(), needed
+        )
 
-    async def _close(self, host: str, case: Case) -> None:
-        """Declare a host dead, unless this process reaches it after all.
+    async def _make_final_probe(self, host: str, suspicion: Suspicion) -> None:
+        """Declare a host dead unless it answers a final probe.
 
-        The refutation may have been lost on its way here, while the word of
-        others that do not reach the host was not.  Or this process stood
-        still past the end, and the refutation waits in its socket.
+        The refutation may have been lost while the news of processes that
+        cannot reach the host arrived.  Or this process was paused beyond the
+        timeout, and the refutation is still unread in its socket.
         """
-        case.closing = True
-        reached = await self.reach(self.table.entries[host])
-        case.closing = False
-        same = self.cases.get(host) is case
-        if reached or not same or not self._over(case, clock.now()):
+        suspicion.final_probe_running = True
+        reached = await self.probe(self.table.entries[host])
+        suspicion.final_probe_running = False
+        same = self.active.get(host) is suspicion
+        if reached or not same or not self._timed_out(suspicion, clock.now()):
             return
-        self._end(host, case)
+        self._declare_dead(host, suspicion)
 
-    def _end(self, host: str, case: Case) -> None:
-        """Declare a host dead, or doubt it when this process may be at fault.
+    def _declare_dead(self, host: str, suspicion: Suspicion) -> None:
+        """Declare a host dead, or only doubt it if this process is isolated.
 
-        A process that is cut off alone would declare the whole fleet dead
-        and, once the network heals, make every host refute that.
+        An isolated process would otherwise declare the whole fleet dead and,
+        once the network heals, make every host refute that.
         """
-        if self.isolated(case.began):
-            self.queue.drop(host)
+        if self.isolated(suspicion.began):
+            self.queue.remove(host)
             self.table.doubt(host)
             return
-        self.table.hear(host, messages.DEAD, case.incarnation)
-        news = messages.News(host, messages.DEAD, case.incarnation)
+        self.table.hear(host, messages.DEAD, suspicion.incarnation)
+        news = messages.News(host, messages.DEAD, suspicion.incarnation)
         self.queue.add(news)
 
-    def _confirm(self, news: messages.News) -> bool:
-        """Count one more that suspects a host; tells whether that is new."""
-        case = self.cases.get(news.host)
-        if case is None or news.incarnation != case.incarnation:
+    def _add_confirmation(self, news: messages.News) -> bool:
+        """Count a process that suspects a host; return whether it is new."""
+        suspicion = self.active.get(news.host)
+        if suspicion is None or news.incarnation != suspicion.incarnation:
             return False
-        if news.by in case.by or len(case.by) > CONFIRMATIONS:
+        if (
+            news.suspected_by in suspicion.suspected_by
+            or len(suspicion.suspected_by) > CONFIRMATIONS
+        ):
             return False
-        case.by.add(news.by)
+        suspicion.suspected_by.add(news.suspected_by)
         return True
 
-    def _changed(self, change: tables.Change) -> None:
+    def _on_table_change(self, change: tables.Change) -> None:
         host = change.entry.member.host
         incarnation = change.entry.member.incarnation
         if change.entry.state != messages.SUSPECT:
-            self.cases.pop(host, None)
+            self.active.pop(host, None)
             return
-        case = self.cases.get(host)
-        if case is None or case.incarnation != incarnation:
-            self.cases[host] = Case(incarnation, clock.now())
+        suspicion = self.active.get(host)
+        if suspicion is None or suspicion.incarnation != incarnation:
+            self.active[host] = Suspicion(incarnation, clock.now())
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -265,7 +265,7 @@
 
 
 def test_forgetting_is_bounded_both_ways(monkeypatch):
-    monkeypatch.setattr(expiry, 'LEFT_S', 60.0)
+    monkeypatch.setattr(expiry, 'LEFT_RETENTION_S', 60.0)
 
     async def _run():
         network = fakes.Network()
--- a/test/test_membership_liveness.py
+++ b/test/test_membership_liveness.py
@@ -231,9 +231,9 @@
         network = fakes.Network()
         nodes = await membership_tests.start_fleet(network, 3)
         entry = nodes[0].table.entries['host-002']
-        assert await nodes[0].prober.reach(entry, 0.2)
+        assert await nodes[0].prober.probe_directly(entry, 0.2)
         await nodes[2].leave()
-        assert not await nodes[0].prober.reach(entry, 0.2)
+        assert not await nodes[0].prober.probe_directly(entry, 0.2)
 
     fakes.run(_run())
 
@@ -250,7 +250,7 @@
         nodes[2].table.own(nodes[2]._record(), nodes[2]._liveness())
         assert nodes[0].table.entries['host-002'].record == old
         # It has nobody alive to tell of, itself included.
-        await nodes[0].anti_entropy.compare(
+        await nodes[0].anti_entropy.reconcile_with(
             messages.RECORDS, nodes[2].identity.peer
         )
         assert nodes[0].table.entries['host-002'].state == messages.LEFT
@@ -273,11 +273,11 @@
         said = messages.News('host-002', messages.SUSPECT, first, 'host-001')
         own = messages.News('host-000', messages.SUSPECT, first, 'host-001')
         table.hear('host-001', messages.DEAD, first)
-        gossip._rumoured('', messages.Rumour('host-001', (said, own)))
+        gossip._handle_rumour('', messages.Rumour('host-001', (said, own)))
         assert believed(nodes[:1], 'host-002') == [messages.ALIVE]
         # What it says of this process must be refuted all the same.
         assert nodes[0].refutations == 1
-        gossip._rumoured('', messages.Rumour('host-002', (said,)))
+        gossip._handle_rumour('', messages.Rumour('host-002', (said,)))
         assert believed(nodes[:1], 'host-002') == [messages.SUSPECT]
 
     fakes.run(_run())
@@ -369,18 +369,18 @@
         nodes = await membership_tests.start_fleet(network, 20)
         membership_tests.crash(network, nodes[19])
         await asyncio.sleep(8)
-        chosen = [nodes[0].dead_prober.choose() for _time in range(1000)]
+        chosen = [nodes[0].dead_prober.choose_host() for _time in range(1000)]
         assert 20 < chosen.count('host-019') < 120
 
     fakes.run(_run())
 
 
 def test_each_confirmation_shortens_the_suspicion():
-    case = suspicion.Case(1, 0.0)
+    suspected = suspicion.Suspicion(1, 0.0)
     times = []
     for name in 'abcd':
-        case.by.add(name)
-        times.append(case.time_s(2.0, 3))
+        suspected.suspected_by.add(name)
+        times.append(suspected.timeout_s(2.0, 3))
     assert times == sorted(times, reverse=True)
     assert times[0] == 10.0
     assert times[3] == 2.0
@@ -400,7 +400,11 @@
                 for other in rng.sample(
                     [n for n in range(5) if n != number], 2
                 ):
-                    if queue.pick() and other not in heard and other != 4:
+                    if (
+                        queue.take_batch()
+                        and other not in heard
+                        and other != 4
+                    ):
                         heard.add(other)
                         queues[other].add(said)
         missed += len(heard) < 4
@@ -411,9 +415,9 @@
     queue = news_queue.Queue(lambda: 100)
     queue.add(messages.News('a', messages.SUSPECT, 1, 'x'))
     queue.add(messages.News('a', messages.SUSPECT, 1, 'y'))
-    assert len(queue.pick()) == 2
+    assert len(queue.take_batch()) == 2
     queue.add(messages.News('a', messages.ALIVE, 2))
-    picks = [queue.pick() for _time in range(50)]
+    picks = [queue.take_batch() for _time in range(50)]
     sent = [pick for pick in picks if pick]
     assert sent == [(messages.News('a', messages.ALIVE, 2),)] * 12
 
@@ -424,7 +428,7 @@
         host = 'host-with-a-name-%05d' % number
         queue.add(messages.News(host, messages.DEAD, 1 << 41))
     assert len(queue.items) == news_queue.MAX_HOSTS
-    picked = queue.pick()
-    assert 10 < len(picked) <= news_queue.MAX_PICKED
+    picked = queue.take_batch()
+    assert 10 < len(picked) <= news_queue.MAX_NEWS_ITEMS
     # What was sent least goes first.
-    assert not set(queue.pick()) & set(picked)
+    assert not set(queue.take_batch()) & set(picked)
--- a/test/test_membership_spread.py
+++ b/test/test_membership_spread.py
@@ -163,10 +163,10 @@
         await asyncio.sleep(6)
         assert membership_tests.upstream_states(nodes[5]) == {'a': 'up'}
         await asyncio.sleep(5)
-        rounds = [node.anti_entropy.rounds for node in nodes]
+        rounds = [node.anti_entropy.comparisons for node in nodes]
         await asyncio.sleep(30)
         # A fleet that agrees compares digests in its probes only.
-        assert [node.anti_entropy.rounds for node in nodes] == rounds
+        assert [node.anti_entropy.comparisons for node in nodes] == rounds
 
     fakes.run(_run())
 
@@ -182,7 +182,7 @@
         network = fakes.Network(seed=2)
         nodes = await membership_tests.start_fleet(network, 2)
         for node in nodes:
-            node.prober.compared.clear()
+            node.prober.digest_listeners.clear()
         network.loss = 0.3
         for number in range(10):
             name = 'u%d' % number
@@ -243,16 +243,16 @@
         flooder = flooding.Flooder(
             table, fakes.Network().transport('127.0.0.1:1')
         )
-        feed = flooding.Feed('127.0.0.1:2')
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         rng = random.Random(1)
         for number in range(1000):
             rows = (messages.Row(rng.randbytes(200).hex(), 's', '', *[1] * 6),)
             table.put(make_record('h%d' % number, 1, 0, rows))
-            feed.add('h%d' % number)
+            queue.add('h%d' % number)
         table.put(make_record('h0', 1, 1))
         sizes = []
-        while feed.waiting:
-            batch = flooder._batch(feed)
+        while queue.to_push:
+            batch = flooder._next_batch(queue)
             sizes.append(sum(len(r.body) for r in batch))
             if len(sizes) == 1:
                 assert batch[0].version == (1, 1)
@@ -269,22 +269,22 @@
         loop = asyncio.get_running_loop()
         transport = fakes.Network().transport('127.0.0.1:1')
         flooder = flooding.Flooder(tables.Table('me'), transport)
-        feed = flooding.Feed('127.0.0.1:2')
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         began = loop.time()
-        gathering = asyncio.ensure_future(flooder._gather(feed))
-        await asyncio.sleep(flooding.OFFER_GAP_S / 8)
-        feed.add('others', False)
-        await asyncio.sleep(flooding.OFFER_GAP_S / 8)
+        gathering = asyncio.ensure_future(flooder._await_offers(queue))
+        await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
+        queue.add('others', False)
+        await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
         assert not gathering.done()
-        feed.add('leaver')
+        queue.add('leaver')
         await gathering
         taken_s = loop.time() - began
-        assert taken_s == pytest.approx(flooding.OFFER_GAP_S / 4)
+        assert taken_s == pytest.approx(flooding.OFFER_PAUSE_S / 4)
         # What was urgent before has been sent; the next offers gather again.
-        feed.waiting.clear()
+        queue.to_push.clear()
         began = loop.time()
-        await flooder._gather(feed)
-        assert loop.time() - began >= flooding.OFFER_GAP_S
+        await flooder._await_offers(queue)
+        assert loop.time() - began >= flooding.OFFER_PAUSE_S
 
     fakes.run(_run())
 
@@ -299,16 +299,16 @@
         monkeypatch.setattr(asyncio, 'sleep', _poll)
         transport = fakes.Network().transport('127.0.0.1:1')
         flooder = flooding.Flooder(tables.Table('me'), transport)
-        feed = flooding.Feed('127.0.0.1:2')
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         loop = asyncio.get_running_loop()
         lasted = []
         for urgent in (False, True):
             began = loop.time()
-            loop.call_later(flooding.OFFER_GAP_S / 4, feed.add, 'h', urgent)
-            await flooder._gather(feed)
+            loop.call_later(flooding.OFFER_PAUSE_S / 4, queue.add, 'h', urgent)
+            await flooder._await_offers(queue)
             lasted.append(loop.time() - began)
         assert lasted == pytest.approx(
-            [flooding.OFFER_GAP_S, flooding.OFFER_GAP_S / 4]
+            [flooding.OFFER_PAUSE_S, flooding.OFFER_PAUSE_S / 4]
         )
 
     fakes.run(_run())
@@ -323,7 +323,7 @@
         for node in nodes[3:]:
             node.transport.handlers.pop(messages.Offer)
         for node in nodes:
-            node.prober.compared.clear()
+            node.prober.digest_listeners.clear()
         membership_tests.announce(nodes[1], 'a')
         await wait_until(
             lambda: all(
@@ -351,10 +351,10 @@
         await asyncio.sleep(1)
         nodes[4].directory.using('stock')
         await asyncio.sleep(2)
-        assert len(nodes[1].direct_push.senders) == 1
+        assert len(nodes[1].direct_push.subscribers) == 1
         for node in nodes:
             node.transport.handlers.pop(messages.Batch)
-            node.prober.compared.clear()
+            node.prober.digest_listeners.clear()
         network.loss = 0.4
         for number in range(6):
             name = 'u%d' % number
