--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,6 +1,6 @@
-"""Tests of membership as a whole: joining, leaving, coming back.
+"""Tests of the membership service: joining, leaving and returning.
 
-The helpers at the top are used by the other tests of membership, too.
+Other tests of membership use the helpers at the top, too.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 def make_node(
     network, number, seeds=(0, 1), incarnation=1, centres=4, **settings
 ):
-    """Return the membership of one made-up process."""
+    """Return the membership service of one simulated process."""
     member = fakes.member(number, centres)
     transport = network.transport(member.peer)
     return service.Membership(
@@ -53,24 +53,24 @@
 
 
 def crash(network, node):
-    """Let the process of a node end without a word."""
-    mine = [node.identity.peer]
-    others = [address for address in network.ends if address not in mine]
+    """Cut a node off as if its process had crashed."""
+    own = [node.identity.peer]
+    others = [address for address in network.ends if address not in own]
     network.remove(node.identity.peer)
-    network.cut(mine, others)
+    network.cut(own, others)
 
 
 def announce(node, name, state='up', incarnation=0, service='stock'):
-    """Announce an upstream at its node, for a long time."""
+    """Announce an upstream at its node, with a lease that doesn't expire."""
     node.registry.lease_s = 1e6
-    said = registry.Announcement(
+    announcement = registry.Announcement(
         service, '127.0.0.1:9000', 4, state=state, incarnation=incarnation
     )
-    return node.registry.announce(name, said, 1)
+    return node.registry.announce(name, announcement, 1)
 
 
 def upstream_states(node, service='stock'):
-    """Return what a node knows of the upstreams of a service."""
+    """Return the states of a service's upstreams known to a node, by id."""
     return {u.id: u.state for u in node.directory.upstreams(service)}
 
 
@@ -104,12 +104,10 @@
     fakes.run(_run())
 
 
-def test_a_process_that_stops_takes_its_upstreams_along():
-    """A process is stopped in an orderly way.
+def test_graceful_stop_removes_upstreams_at_once():
+    """Guards against a graceful stop that others detect only by probes.
 
-    Symptom: its upstreams get work for seconds after, on connections that
-    nobody serves.  Sequence: stop, and only then silence.  Cause: the others
-    must find out by probes what the process could have told them.
+    Until then they would send requests to its upstreams for seconds.
     """
 
     async def _run():
@@ -125,33 +123,29 @@
     fakes.run(_run())
 
 
-def test_any_seed_will_do():
-    """The first seed is down when a process starts.
-
-    Symptom: it never joins.  Sequence: seed lost, then the start.  Cause:
-    it goes on asking the seed that it chose first.
-    """
+def test_process_joins_while_one_seed_is_down():
+    """Guards against a process that keeps asking one unreachable seed."""
 
     async def _run():
         network = fakes.Network()
         nodes = await start_fleet(network, 4)
         crash(network, nodes[0])
-        late = make_node(network, 4)
-        await late.start()
+        newcomer = make_node(network, 4)
+        await newcomer.start()
         await asyncio.sleep(15)
-        assert alive_hosts(late) == {
+        assert alive_hosts(newcomer) == {
             node.members.me.host for node in nodes[1:]
-        } | {late.members.me.host}
+        } | {newcomer.members.me.host}
 
     fakes.run(_run())
 
 
-def test_lost_host_returns_with_its_upstreams_unannounced():
-    """A host is silent for a while, then back.
+def test_upstreams_follow_the_liveness_of_their_host():
+    """A host is unreachable, is declared dead, and becomes reachable again.
 
-    Symptom: its upstreams stay listed while it is away, or all are announced
-    anew when it is back.  Sequence: silence, declared dead, heard again.
-    Cause: liveness and announcements taken for one thing.
+    Guards against upstreams that stay listed while their host is dead, and
+    against a new announcement when it returns: liveness must be separate
+    from records.
     """
 
     async def _run():
@@ -174,12 +168,11 @@
     fakes.run(_run())
 
 
-def test_restart_behind_a_clock_set_back():
-    """A process comes back on its address with a smaller incarnation.
+def test_restart_with_a_smaller_incarnation():
+    """A process restarts after its clock was set back.
 
-    Symptom: the fleet goes on with what the old process announced.
-    Sequence: the process dies, its clock is set back, it starts.  Cause: its
-    record is numbered lower than the one that the others hold.
+    Guards against a fleet that keeps the record of the old process because
+    the incarnation of the new one is smaller.
     """
 
     async def _run():
@@ -190,25 +183,24 @@
         crash(network, nodes[3])
         await nodes[3].stop()
         network.heal()
-        again = make_node(network, 3, incarnation=10)
-        await again.start()
-        announce(again, 'new')
+        restarted = make_node(network, 3, incarnation=10)
+        await restarted.start()
+        announce(restarted, 'new')
         await asyncio.sleep(5)
-        everybody = [*nodes[:3], again]
+        all_nodes = [*nodes[:3], restarted]
         assert all(
-            upstream_states(node) == {'new': 'up'} for node in everybody
+            upstream_states(node) == {'new': 'up'} for node in all_nodes
         )
-        assert all(len(alive_hosts(node)) == 4 for node in everybody)
+        assert all(len(alive_hosts(node)) == 4 for node in all_nodes)
 
     fakes.run(_run())
 
 
-def test_another_host_on_a_known_address():
-    """A host is replaced by another with the same address.
+def test_new_host_on_the_address_of_a_dead_host():
+    """A host dies and a host of another name starts on its address.
 
-    Symptom: the host that is gone stays alive for ever.  Sequence: host 3
-    dies, host 4 starts on its address.  Cause: the new one answers probes
-    that mean the old one.
+    Guards against a dead host that stays alive in the tables because the new
+    host answers probes that target the old one.
     """
 
     async def _run():
@@ -235,12 +227,12 @@
     fakes.run(_run())
 
 
-def test_a_process_that_was_frozen_for_long_trusts_nothing():
-    """A process stands still for two hours, then goes on.
+def test_process_discards_its_table_after_a_long_pause():
+    """A process is paused for two hours.
 
-    Symptom: an upstream that left long ago gets work again.  Sequence: a
-    process is frozen; a host leaves and is forgotten by the others; the
-    process thaws.  Cause: what it still believes spreads as if it were new.
+    Guards against an upstream that left meanwhile and is listed again: its
+    host has been forgotten by the others, and the paused process would
+    spread its outdated record as new.
     """
 
     async def _run():
@@ -248,15 +240,15 @@
         nodes = await start_fleet(network, 5)
         announce(nodes[4], 'a')
         await asyncio.sleep(1)
-        frozen = nodes[3]
-        frozen.transport.handlers, kept = {}, frozen.transport.handlers
+        paused = nodes[3]
+        paused.transport.handlers, kept = {}, paused.transport.handlers
         await nodes[4].stop()
         for node in nodes[:3]:
             node.table.forget('host-004')
-        assert upstream_states(frozen) == {'a': 'up'}
-        frozen.prober.suspicions.pause_listeners[0](7200.0)
-        frozen.transport.handlers = kept
-        assert upstream_states(frozen) == {}
+        assert upstream_states(paused) == {'a': 'up'}
+        paused.prober.suspicions.pause_listeners[0](7200.0)
+        paused.transport.handlers = kept
+        assert upstream_states(paused) == {}
         await asyncio.sleep(10)
         assert all(upstream_states(node) == {} for node in nodes[:4])
         assert all(len(alive_hosts(node)) == 4 for node in nodes[:4])
@@ -264,7 +256,7 @@
     fakes.run(_run())
 
 
-def test_forgetting_is_bounded_both_ways(monkeypatch):
+def test_hosts_that_left_expire_before_dead_hosts(monkeypatch):
     monkeypatch.setattr(expiry, 'LEFT_RETENTION_S', 60.0)
 
     async def _run():
@@ -281,7 +273,7 @@
     fakes.run(_run())
 
 
-def test_members_tell_who_comes_and_goes():
+def test_members_notify_of_deaths_and_joins():
     async def _run():
         network = fakes.Network()
         nodes = await start_fleet(network, 3)
@@ -289,8 +281,8 @@
         nodes[0].members.subscribe(lambda m, up: seen.append((m.host, up)))
         crash(network, nodes[2])
         await asyncio.sleep(10)
-        late = make_node(network, 7)
-        await late.start()
+        newcomer = make_node(network, 7)
+        await newcomer.start()
         await asyncio.sleep(3)
         assert seen == [('host-002', False), ('host-007', True)]
         assert isinstance(nodes[0].members.me, interfaces.Member)
@@ -298,12 +290,13 @@
     fakes.run(_run())
 
 
-@pytest.mark.parametrize(('left_s', 'most_s'), [(0.3, 0.4), (10.0, 1.6)])
-def test_leave_ends_within_the_time_that_a_stop_has(left_s, most_s):
-    """One of 25 processes was killed when its grace of 6 s was over.
+@pytest.mark.parametrize(('left_s', 'max_s'), [(0.3, 0.4), (10.0, 1.6)])
+def test_leave_ends_before_the_deadline_of_a_stop(left_s, max_s):
+    """Guards against a leave that runs past the end of the grace period.
 
-    Its requests had used 5.65 s; then it waited 1.5 s for members to
-    acknowledge that it leaves, which were down themselves.
+    One of 25 processes was killed at the end of its grace period of 6 s: its
+    requests had taken 5.65 s, and the leave then waited 1.5 s for
+    acknowledgements of members that were down themselves.
     """
 
     async def scenario():
@@ -317,10 +310,10 @@
         await nodes[0].leave()
         return loop.time() - began
 
-    assert fakes.run(scenario()) <= most_s
+    assert fakes.run(scenario()) <= max_s
 
 
-def test_stop_of_a_node_bounds_its_leave():
+def test_stop_of_a_node_sets_the_deadline_of_its_leave():
     async def scenario():
         document = {
             'host': 'h1',
--- a/test/test_membership_liveness.py
+++ b/test/test_membership_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of liveness: cuts in every direction, pauses, refutation."""
+"""Tests of liveness: partitions of all kinds, pauses and refutation."""
 
 import asyncio
 import random
@@ -15,17 +15,17 @@
 
 
 def addresses(nodes):
-    """Return the addresses of some nodes."""
+    """Return the link addresses of some nodes."""
     return [node.identity.peer for node in nodes]
 
 
-def believed(nodes, host):
-    """Return what each node believes of a host."""
+def believed_states(nodes, host):
+    """Return the liveness of a host according to each node."""
     return [node.table.entries[host].state for node in nodes]
 
 
-def buried(node):
-    """Return the hosts that a node ever declared dead."""
+def hosts_declared_dead(node):
+    """Return the hosts of all member-dead events of a node."""
     return {
         event.text.partition(',')[0]
         for event in node.timeline.ring
@@ -33,47 +33,46 @@
     }
 
 
-def test_a_host_that_hears_but_is_not_heard():
-    """One-way partition: all that a host sends is lost.
+def test_host_that_can_receive_but_not_send_is_declared_dead():
+    """One-way partition: everything that a host sends is lost.
 
-    Symptom: it stays alive in all lists and fails every request.  Sequence:
-    its outgoing direction is cut.  Cause: others go by what it takes in.
+    Guards against a host that fails every request and yet stays listed as
+    alive because it still receives messages.
     """
 
     async def _run():
         network = fakes.Network()
         nodes = await membership_tests.start_fleet(network, 8)
-        mute, rest = nodes[3], nodes[:3] + nodes[4:]
-        network.cut(addresses([mute]), addresses(rest), both=False)
+        faulty, rest = nodes[3], nodes[:3] + nodes[4:]
+        network.cut(addresses([faulty]), addresses(rest), both=False)
         await asyncio.sleep(6)
-        assert believed(rest, 'host-003') == [messages.DEAD] * 7
+        assert believed_states(rest, 'host-003') == [messages.DEAD] * 7
         network.heal()
         await asyncio.sleep(12)
-        assert believed(rest, 'host-003') == [messages.ALIVE] * 7
+        assert believed_states(rest, 'host-003') == [messages.ALIVE] * 7
 
     fakes.run(_run())
 
 
-def test_a_host_that_is_heard_but_does_not_hear():
-    """One-way partition: all that is sent to a host is lost.
+def test_host_that_can_send_but_not_receive_is_declared_dead():
+    """One-way partition: everything that is sent to a host is lost.
 
-    Symptom: it stays alive in all lists, or it talks the others into
-    believing each other dead.  Sequence: its incoming direction is cut.
-    Cause: hearing from it counts as proof of life, and its word as good.
+    Guards against messages from the host that count as a sign of life, and
+    against its suspicions of others being accepted.
     """
 
     async def _run():
         network = fakes.Network()
         nodes = await membership_tests.start_fleet(network, 8)
-        deaf, rest = nodes[3], nodes[:3] + nodes[4:]
-        network.cut(addresses(rest), addresses([deaf]), both=False)
+        faulty, rest = nodes[3], nodes[:3] + nodes[4:]
+        network.cut(addresses(rest), addresses([faulty]), both=False)
         await asyncio.sleep(30)
-        assert believed(rest, 'host-003') == [messages.DEAD] * 7
-        told = [
+        assert believed_states(rest, 'host-003') == [messages.DEAD] * 7
+        deaths = [
             membership_tests.event_kinds(node).count('member-dead')
             for node in rest
         ]
-        assert told == [1] * 7
+        assert deaths == [1] * 7
         network.heal()
         await asyncio.sleep(8)
         assert all(
@@ -83,11 +82,11 @@
     fakes.run(_run())
 
 
-def test_two_hosts_that_do_not_reach_each_other():
-    """One path is cut, in one direction or both; all others work.
+def test_cut_between_two_hosts_does_not_cause_suspicion():
+    """One path is cut, in one direction and then in both; all others work.
 
-    Symptom: one of the two is declared dead.  Sequence: 1 can't reach 2.
-    Cause: the direct probe alone decides.
+    Guards against a failed direct probe that is enough for a suspicion,
+    though helpers can reach the host.
     """
 
     async def _run():
@@ -106,12 +105,12 @@
     fakes.run(_run())
 
 
-def test_half_the_fleet_hears_the_other_half_only():
-    """A partition between two halves lets messages through one way.
+def test_one_way_partition_between_halves_heals():
+    """A partition between two halves lets messages through one way only.
 
-    Symptom: the halves disagree for ever, or one spreads deaths into the
-    other.  Sequence: a cut from left to right, then healing.  Cause: news
-    from a process that is believed dead is believed.
+    Guards against deaths that one half spreads into the other because news
+    from hosts believed dead is accepted, and against halves that disagree
+    after the network healed.
     """
 
     async def _run():
@@ -123,9 +122,9 @@
         assert all(
             len(membership_tests.alive_hosts(node)) == 6 for node in nodes
         )
-        for side, other in ((left, right), (right, left)):
+        for half, other in ((left, right), (right, left)):
             wanted = {node.identity.host for node in other}
-            assert all(buried(node) == wanted for node in side)
+            assert all(hosts_declared_dead(node) == wanted for node in half)
         network.heal()
         await asyncio.sleep(20)
         assert all(
@@ -135,12 +134,11 @@
     fakes.run(_run())
 
 
-def test_a_process_cut_off_alone_condemns_nobody():
-    """A process is cut off alone for a minute, then heard again.
+def test_isolated_process_spreads_no_deaths():
+    """A single process is cut off for a minute, then reachable again.
 
-    Symptom: once it is back, every host of the fleet has to refute its own
-    death.  Sequence: cut, the lone process holds all for dead, healing.
-    Cause: it spreads what only it believes.
+    Guards against a fleet in which every host must refute its own death
+    because the isolated process declared all others dead.
     """
 
     async def _run():
@@ -156,13 +154,13 @@
             len(membership_tests.alive_hosts(node)) == 10 for node in nodes
         )
         assert [node.refutations for node in rest] == [0] * 9
-        assert all(buried(node) == {'host-009'} for node in rest)
+        assert all(hosts_declared_dead(node) == {'host-009'} for node in rest)
 
     fakes.run(_run())
 
 
-async def stand_still(network, seconds):
-    """Let all processes stand still, and read their sockets late."""
+async def pause_all(network, seconds):
+    """Pause all processes; messages arrive after the clock has advanced."""
     arrive, held = network._arrive, []
     network._arrive = lambda *args: held.append(args)
     asyncio.get_running_loop().virtual.time += seconds
@@ -172,12 +170,12 @@
         arrive(*args)
 
 
-def test_a_process_that_stood_still_condemns_nobody():
-    """A process stands still while it suspects a host.
+def test_paused_process_declares_no_host_dead():
+    """A process is paused while it suspects a host.
 
-    Symptom: it declares a live host dead as soon as it goes on.  Sequence:
-    suspicion, standstill past its end, refutation unread in the socket.
-    Cause: the end is reckoned by the clock alone.
+    Guards against a live host that is declared dead when the process resumes
+    past the timeout of the suspicion, with the refutation still unread in
+    its socket.
     """
 
     async def _run():
@@ -187,7 +185,7 @@
         while 'member-suspected' not in membership_tests.event_kinds(nodes[0]):
             await asyncio.sleep(0.05)
         network.heal()
-        await stand_still(network, 20.0)
+        await pause_all(network, 20.0)
         await asyncio.sleep(5)
         events = [
             kind
@@ -199,12 +197,11 @@
     fakes.run(_run())
 
 
-def test_one_that_missed_a_return_finds_out():
-    """A process never hears that a host is back.
+def test_process_that_missed_a_refutation_recovers():
+    """Some processes believe a live host dead.
 
-    Symptom: it alone believes the host dead for many minutes.  Sequence: the
-    host is declared dead and refutes that; the refutation is lost here.
-    Cause: only news could tell.
+    Guards against a lost refutation after which a process alone believes the
+    host dead for many minutes, because only news could correct it.
     """
 
     async def _run():
@@ -224,7 +221,7 @@
     fakes.run(_run())
 
 
-def test_one_that_has_left_does_not_answer_probes():
+def test_host_that_left_does_not_answer_probes():
     """Guards against a host that left and is believed alive again."""
 
     async def _run():
@@ -238,8 +235,8 @@
     fakes.run(_run())
 
 
-def test_newer_records_in_an_answer_of_anti_entropy_are_taken():
-    """Guards against a leave that the one who left tells in vain."""
+def test_newer_records_in_an_answer_of_anti_entropy_are_accepted():
+    """Guards against the tombstone of a host that left being ignored."""
 
     async def _run():
         network = fakes.Network()
@@ -249,7 +246,7 @@
         nodes[2].sequence += 1
         nodes[2].table.own(nodes[2]._record(), nodes[2]._liveness())
         assert nodes[0].table.entries['host-002'].record == old
-        # It has nobody alive to tell of, itself included.
+        # Its own answer lists no live host, not even itself.
         await nodes[0].anti_entropy.reconcile_with(
             messages.RECORDS, nodes[2].identity.peer
         )
@@ -258,27 +255,26 @@
     fakes.run(_run())
 
 
-def test_the_word_of_the_dead_does_not_count():
-    """A host that hears nothing suspects everybody, and is heard.
+def test_news_from_a_dead_host_is_ignored():
+    """A host can send but not receive, and suspects every other host.
 
-    Symptom: live hosts are suspected all the time.  Sequence: a one-way
-    partition; the deaf host is declared dead and talks on.  Cause: its news
-    is taken in.
+    Guards against live hosts that are suspected all the time because news
+    is still accepted from a host that has been declared dead.
     """
 
     async def _run():
         nodes = await membership_tests.start_fleet(fakes.Network(), 3)
         table, gossip = nodes[0].table, nodes[0].gossip
         first = messages.first_incarnation(1)
-        said = messages.News('host-002', messages.SUSPECT, first, 'host-001')
+        other = messages.News('host-002', messages.SUSPECT, first, 'host-001')
         own = messages.News('host-000', messages.SUSPECT, first, 'host-001')
         table.hear('host-001', messages.DEAD, first)
-        gossip._handle_rumour('', messages.Rumour('host-001', (said, own)))
-        assert believed(nodes[:1], 'host-002') == [messages.ALIVE]
-        # What it says of this process must be refuted all the same.
+        gossip._handle_rumour('', messages.Rumour('host-001', (other, own)))
+        assert believed_states(nodes[:1], 'host-002') == [messages.ALIVE]
+        # A suspicion of this process must be refuted nevertheless.
         assert nodes[0].refutations == 1
-        gossip._handle_rumour('', messages.Rumour('host-002', (said,)))
-        assert believed(nodes[:1], 'host-002') == [messages.SUSPECT]
+        gossip._handle_rumour('', messages.Rumour('host-002', (other,)))
+        assert believed_states(nodes[:1], 'host-002') == [messages.SUSPECT]
 
     fakes.run(_run())
 
@@ -291,7 +287,9 @@
         (False, True, messages.DEAD, False),
     ],
 )
-def test_the_last_probe_decides(reached, isolated, state, refutable):
+def test_final_probe_decides_on_a_suspicion(
+    reached, isolated, state, refutable
+):
     async def _run():
         table = tables.Table('me')
         table.put(spread.make_record('a'))
@@ -320,19 +318,19 @@
     fakes.run(_run())
 
 
-def test_a_region_is_cut_off_and_heals():
-    """Two regions lose each other.
+def test_partition_between_regions_heals():
+    """Two regions are disconnected for a minute, with changes in both.
 
-    Symptom: after the healing each keeps the other out, or all processes
-    talk at once.  Sequence: cut for minutes, changes on both sides, healing.
-    Cause: nobody probes the dead, or everybody probes them all.
+    Guards against regions that stay apart after the network healed because
+    no process probes dead hosts, and against a burst of traffic because
+    every process probes all of them.
     """
 
     async def _run():
         network = fakes.Network()
         nodes = await membership_tests.start_fleet(network, 16)
         for node in nodes:
-            # Seeds would do as well; here the probes of the dead must.
+            # Without seeds only probes of dead hosts can reconnect them.
             node.joining.seeds = ()
         left, right = nodes[:8], nodes[8:]
         membership_tests.announce(nodes[3], 'before')
@@ -357,25 +355,25 @@
         assert all(
             membership_tests.upstream_states(node) == wanted for node in nodes
         )
-        # The rate stays within a small multiple of that of a quiet fleet.
+        # A small multiple of the message rate of an idle fleet.
         assert (network.carried - before) / 16 / 20 < 30
 
     fakes.run(_run())
 
 
-def test_one_dead_host_is_not_probed_by_everybody_all_the_time():
+def test_dead_host_is_probed_rarely_by_each_process():
     async def _run():
         network = fakes.Network()
         nodes = await membership_tests.start_fleet(network, 20)
         membership_tests.crash(network, nodes[19])
         await asyncio.sleep(8)
-        chosen = [nodes[0].dead_prober.choose_host() for _time in range(1000)]
+        chosen = [nodes[0].dead_prober.choose_host() for _try in range(1000)]
         assert 20 < chosen.count('host-019') < 120
 
     fakes.run(_run())
 
 
-def test_each_confirmation_shortens_the_suspicion():
+def test_each_confirmation_shortens_the_timeout():
     suspected = suspicion.Suspicion(1, 0.0)
     times = []
     for name in 'abcd':
@@ -386,15 +384,15 @@
     assert times[3] == 2.0
 
 
-def test_death_is_heard_by_all_of_a_small_fleet():
-    """Guards against news that is dropped before a few hosts have it."""
+def test_death_reaches_every_host_of_a_small_fleet():
+    """Guards against news that is dropped before every host has it."""
     missed = 0
     for seed in range(200):
         rng = random.Random(seed)
         queues = {n: news_queue.Queue(lambda: 5) for n in range(4)}
-        said = messages.News('h4', messages.DEAD, 1)
-        queues[0].add(said)
-        heard = {0}
+        death = messages.News('h4', messages.DEAD, 1)
+        queues[0].add(death)
+        informed = {0}
         for _round in range(20):
             for number, queue in queues.items():
                 for other in rng.sample(
@@ -402,12 +400,12 @@
                 ):
                     if (
                         queue.take_batch()
-                        and other not in heard
+                        and other not in informed
                         and other != 4
                     ):
-                        heard.add(other)
-                        queues[other].add(said)
-        missed += len(heard) < 4
+                        informed.add(other)
+                        queues[other].add(death)
+        missed += len(informed) < 4
     assert missed == 0
 
 
@@ -417,18 +415,18 @@
     queue.add(messages.News('a', messages.SUSPECT, 1, 'y'))
     assert len(queue.take_batch()) == 2
     queue.add(messages.News('a', messages.ALIVE, 2))
-    picks = [queue.take_batch() for _time in range(50)]
-    sent = [pick for pick in picks if pick]
+    batches = [queue.take_batch() for _try in range(50)]
+    sent = [batch for batch in batches if batch]
     assert sent == [(messages.News('a', messages.ALIVE, 2),)] * 12
 
 
-def test_a_flood_of_news_fits_a_datagram_and_the_memory():
+def test_queued_news_and_datagrams_are_bounded():
     queue = news_queue.Queue(lambda: 2500)
     for number in range(3 * news_queue.MAX_HOSTS):
         host = 'host-with-a-name-%05d' % number
         queue.add(messages.News(host, messages.DEAD, 1 << 41))
     assert len(queue.items) == news_queue.MAX_HOSTS
-    picked = queue.take_batch()
-    assert 10 < len(picked) <= news_queue.MAX_NEWS_ITEMS
-    # What was sent least goes first.
-    assert not set(queue.take_batch()) & set(picked)
+    batch = queue.take_batch()
+    assert 10 < len(batch) <= news_queue.MAX_NEWS_ITEMS
+    # News with the fewest sends goes first.
+    assert not set(queue.take_batch()) & set(batch)
--- a/test/test_membership_spread.py
+++ b/test/test_membership_spread.py
@@ -1,4 +1,4 @@
-"""Tests of how records spread: flooding, anti-entropy, straight pushes."""
+"""Tests of record distribution: flooding, anti-entropy, direct push."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 def make_record(host, incarnation=1, sequence=0, upstreams=(), left=False):
-    """Return a made-up record."""
+    """Return a record with placeholder addresses."""
     address = '127.0.0.1:1'
     body = messages.Body('dc', 'region', address, address, False, upstreams)
     packed = messages.pack(body)
@@ -32,12 +32,12 @@
     return loop.time() - began
 
 
-def test_leave_reaches_a_hundred_nodes_under_loss():
-    """Leaves while a fifth of all messages between nodes are lost.
+def test_drain_reaches_a_hundred_nodes_under_loss():
+    """Upstreams drain while a fifth of all messages between nodes are lost.
 
-    Symptom: some node sends new work to an upstream seconds after it began
-    to drain.  Sequence: no control host runs, messages are lost, upstreams
-    drain and leave.  Cause: a lost message is not sent again.
+    Guards against nodes that send new requests to an upstream seconds after
+    it began to drain, because a lost message is not sent again.  No control
+    host runs.
     """
 
     async def _run():
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_random_changes_converge_and_nothing_left_returns(seed):
-    """Upstreams and hosts come and go at random, with loss and doubles.
+def test_random_changes_converge_without_resurrected_upstreams(seed):
+    """Upstreams come and go at random, with losses, duplicates and cuts.
 
-    Symptom: an upstream that left is listed again, or nodes disagree for
-    ever.  Sequence: random.  Cause: a late announcement, a record lost on
-    every path, or a host's return taken for that of its upstreams.
+    Guards against upstreams that left and are listed again, and against
+    nodes that never agree: by a delayed older record, a record lost on every
+    path, or a host that returns and is taken to bring its upstreams back.
     """
 
     async def _run():
@@ -81,17 +81,19 @@
         nodes = await membership_tests.start_fleet(network, 10, settle_s=15)
         left, listed, returned = set(), {}, []
 
-        def _seen(node, item):
+        def _check_item(node, item):
             if item.id in left and item.state == 'up':
                 returned.append((node, item))
 
         for node in nodes:
-            node.directory.subscribe(lambda u, n=node: _seen(n.identity, u))
+            node.directory.subscribe(
+                lambda u, n=node: _check_item(n.identity, u)
+            )
         for step in range(40):
             owner = rng.choice(nodes)
-            mine = [n for n, node in listed.items() if node is owner]
-            if mine and rng.random() < 0.5:
-                name = rng.choice(mine)
+            own_upstreams = [n for n, node in listed.items() if node is owner]
+            if own_upstreams and rng.random() < 0.5:
+                name = rng.choice(own_upstreams)
                 owner.registry.remove(name)
                 del listed[name]
                 await asyncio.sleep(2.0)
@@ -118,12 +120,11 @@
     fakes.run(_run())
 
 
-def test_a_late_older_record_changes_nothing():
-    """An old announcement arrives after the leave.
+def test_delayed_older_record_is_ignored():
+    """A record is delayed on one path and overtaken by a newer one.
 
-    Symptom: an upstream that left is listed again.  Sequence: a record is
-    held up on one path, the next one overtakes it.  Cause: the last to
-    arrive wins.
+    Guards against an upstream that left and is listed again because the
+    record that arrives last wins.
     """
 
     async def _run():
@@ -144,11 +145,10 @@
     fakes.run(_run())
 
 
-def test_a_record_lost_on_every_path_is_mended():
-    """A node misses a change altogether.
+def test_anti_entropy_repairs_a_lost_record():
+    """Guards against a node that never learns of a change which it missed.
 
-    Symptom: it never learns of it.  Sequence: it is cut off from all while
-    a change is flooded and given up.  Cause: nothing looks for differences.
+    The node drops every record while the change is flooded.
     """
 
     async def _run():
@@ -165,17 +165,17 @@
         await asyncio.sleep(5)
         rounds = [node.anti_entropy.comparisons for node in nodes]
         await asyncio.sleep(30)
-        # A fleet that agrees compares digests in its probes only.
+        # While all nodes agree, digests are compared only in probes.
         assert [node.anti_entropy.comparisons for node in nodes] == rounds
 
     fakes.run(_run())
 
 
-def test_what_a_neighbour_missed_is_sent_again():
-    """Two processes, and three of ten messages are lost between them.
+def test_lost_record_is_resent_until_acknowledged():
+    """Three of ten messages between two processes are lost.
 
-    Symptom: a leave waits for anti-entropy.  Sequence: the one message with
-    it is lost.  Cause: it is not sent again until acknowledged.
+    Guards against a change that must wait for anti-entropy because the only
+    message with it was lost.
     """
 
     async def _run():
@@ -197,13 +197,11 @@
     fakes.run(_run())
 
 
-def test_a_data_centre_returns_all_at_once():
-    """A quarter of the hosts starts in the same moment.
+def test_return_of_a_data_centre_does_not_saturate_links():
+    """A quarter of the hosts start at the same moment, as after a power loss.
 
-    Symptom: links and seeds are flooded by thousands of announcements.
-    Sequence: a data centre loses power and is back, every upstream
-    announces itself at once.  Cause: each announcement travels alone and at
-    once.
+    Guards against links and seeds overloaded by thousands of announcements,
+    each sent immediately in a message of its own.
     """
 
     async def _run():
@@ -211,33 +209,34 @@
         nodes = await membership_tests.start_fleet(network, 30)
         await asyncio.sleep(5)
         before = network.carried
-        back = [
+        new_nodes = [
             membership_tests.make_node(network, number)
             for number in range(30, 40)
         ]
-        for node in back:
+        for node in new_nodes:
             await node.start()
         for number in range(100):
-            for node in back:
+            for node in new_nodes:
                 membership_tests.announce(
                     node, '%s-%d' % (node.identity.host, number)
                 )
             await asyncio.sleep(0.01)
-        everybody = nodes + back
+        all_nodes = nodes + new_nodes
         await wait_until(
             lambda: all(
                 len(membership_tests.upstream_states(node)) == 1000
-                for node in everybody
+                for node in all_nodes
             ),
             10.0,
         )
-        # A thousand announcements; each alone would be ten times as much.
+        # Sent one by one, the thousand announcements would take ten times as
+        # many messages.
         assert (network.carried - before) / 40 < 400
 
     fakes.run(_run())
 
 
-def test_a_batch_is_bounded_and_a_waiting_record_is_the_newest():
+def test_batches_are_bounded_and_carry_the_newest_records():
     async def _run():
         table = tables.Table('me')
         flooder = flooding.Flooder(
@@ -262,8 +261,8 @@
     fakes.run(_run())
 
 
-def test_leave_does_not_wait_until_offers_have_gathered():
-    """Guards against news that waits for the next look at what is urgent."""
+def test_urgent_record_ends_the_pause_after_an_offer():
+    """Guards against an urgent record that waits for the end of the pause."""
 
     async def _run():
         loop = asyncio.get_running_loop()
@@ -271,16 +270,16 @@
         flooder = flooding.Flooder(tables.Table('me'), transport)
         queue = flooding.NeighbourQueue('127.0.0.1:2')
         began = loop.time()
-        gathering = asyncio.ensure_future(flooder._await_offers(queue))
+        pause = asyncio.ensure_future(flooder._await_offers(queue))
         await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
         queue.add('others', False)
         await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
-        assert not gathering.done()
+        assert not pause.done()
         queue.add('leaver')
-        await gathering
+        await pause
         taken_s = loop.time() - began
         assert taken_s == pytest.approx(flooding.OFFER_PAUSE_S / 4)
-        # What was urgent before has been sent; the next offers gather again.
+        # After the urgent record was sent, the next pause lasts in full.
         queue.to_push.clear()
         began = loop.time()
         await flooder._await_offers(queue)
@@ -289,33 +288,33 @@
     fakes.run(_run())
 
 
-def test_pause_after_an_offer_wakes_nobody_until_it_ends(monkeypatch):
-    """Guards against polls by each of the feeds while others gather."""
+def test_pause_after_an_offer_does_not_poll(monkeypatch):
+    """Guards against polling by the queue of every neighbour in the pause."""
 
     async def _run():
         async def _poll(_time_s):
-            raise AssertionError('a poll')
+            raise AssertionError('pause polls with asyncio.sleep')
 
         monkeypatch.setattr(asyncio, 'sleep', _poll)
         transport = fakes.Network().transport('127.0.0.1:1')
         flooder = flooding.Flooder(tables.Table('me'), transport)
         queue = flooding.NeighbourQueue('127.0.0.1:2')
         loop = asyncio.get_running_loop()
-        lasted = []
+        durations = []
         for urgent in (False, True):
             began = loop.time()
             loop.call_later(flooding.OFFER_PAUSE_S / 4, queue.add, 'h', urgent)
             await flooder._await_offers(queue)
-            lasted.append(loop.time() - began)
-        assert lasted == pytest.approx(
+            durations.append(loop.time() - began)
+        assert durations == pytest.approx(
             [flooding.OFFER_PAUSE_S, flooding.OFFER_PAUSE_S / 4]
         )
 
     fakes.run(_run())
 
 
-def test_process_that_does_not_know_offers_gets_records_pushed():
-    """Guards against a rolling upgrade that leaves old processes behind."""
+def test_process_without_support_for_offers_gets_records_pushed():
+    """Guards against a rolling upgrade that cuts off old processes."""
 
     async def _run():
         network = fakes.Network()
@@ -336,12 +335,11 @@
     fakes.run(_run())
 
 
-def test_those_that_send_get_it_straight():
-    """All links for messages fail; datagrams still pass.
+def test_registered_nodes_get_drains_by_datagram():
+    """Records over links fail; datagrams still pass.
 
-    Symptom: a node goes on sending to an upstream that drains.  Sequence:
-    TCP between hosts is stuck, the upstream drains.  Cause: flooding over
-    links is the only way.
+    Guards against a node that keeps sending requests to a draining upstream
+    because flooding over TCP is the only way to learn of it.
     """
 
     async def _run():
@@ -371,7 +369,7 @@
 
 
 def reach(links, first):
-    """Return the hops from a host to all that it reaches, and how many."""
+    """Return the hops from a host to all reachable hosts, and their number."""
     reached, hops, before = {first}, 0, 0
     while len(reached) > before:
         before = len(reached)
@@ -380,7 +378,7 @@
     return hops, len(reached)
 
 
-def test_the_overlay_links_everybody_in_few_hops():
+def test_overlay_connects_all_hosts_in_few_hops():
     names = {'h%d' % number: 'dc' for number in range(500)}
     links = {name: overlay.neighbours(name, names) for name in names}
     assert max(len(found) for found in links.values()) == 7
@@ -394,41 +392,44 @@
 
 
 @pytest.mark.parametrize('centres', [2, 6, 30])
-def test_few_edges_of_the_overlay_leave_a_data_centre(centres):
-    """Guards against records that cross between data centres host by host."""
+def test_few_links_of_the_overlay_leave_a_data_centre(centres):
+    """Guards against records sent to another data centre once per host."""
     names = {'h%d' % n: 'dc%d' % (n % centres) for n in range(240)}
     links = {name: overlay.neighbours(name, names) for name in names}
-    far = [
+    remote_links = [
         (name, other)
         for name, found in links.items()
         for other in found
         if names[name] != names[other]
     ]
     alone = {'c%d' % n: '' for n in range(centres)}
-    towards = len(overlay.neighbours('c0', alone))
-    assert len(far) == centres * towards * overlay.LINKS_BETWEEN_CENTRES
+    successors = len(overlay.neighbours('c0', alone))
+    assert (
+        len(remote_links)
+        == centres * successors * overlay.LINKS_BETWEEN_CENTRES
+    )
     hops, reached = reach(links, 'h0')
     assert reached == 240
     assert hops <= 12
 
 
-def test_overlay_bears_the_loss_of_most_links_between_data_centres():
-    """Guards against a data centre cut off until losses are noticed."""
+def test_overlay_tolerates_loss_of_most_links_between_data_centres():
+    """Guards against a data centre cut off until failures are detected."""
     names = {'h%d' % n: 'dc%d' % (n % 2) for n in range(40)}
     links = {name: overlay.neighbours(name, names) for name in names}
-    holders = [
+    link_hosts = [
         name
         for name, found in links.items()
         if names[name] == 'dc0'
         and any(names[other] == 'dc1' for other in found)
     ]
-    lost = holders[1:]
+    lost = link_hosts[1:]
     left = {name: found for name, found in links.items() if name not in lost}
     first = next(name for name in left if names[name] == 'dc0')
     assert reach(left, first)[1] == 40
 
 
-def test_digests_find_the_one_host_that_differs():
+def test_digests_identify_the_bucket_of_a_differing_host():
     ours, theirs = digest.Digest(), digest.Digest()
     for number in range(100):
         host = 'h%d' % number
@@ -440,11 +441,11 @@
     assert ours.total != theirs.total
 
 
-def test_an_inflated_body_is_refused():
-    """A record of a few hundred bytes inflates to gigabytes.
+def test_body_above_the_decompressed_limit_is_refused():
+    """Guards against records that exhaust the memory when decompressed.
 
-    Symptom: the process runs out of memory.  Sequence: a broken peer sends
-    it.  Cause: the size is looked at before it is inflated.
+    A few hundred bytes from a faulty peer can expand to gigabytes; the limit
+    must hold for the decompressed size.
     """
     upstreams = (messages.Row('x' * 200, 's', '', *[1] * 6),) * 500
     body = messages.Body('dc', 'r', 'p', 'g', False, upstreams)
--- a/test/test_membership_storm.py
+++ b/test/test_membership_storm.py
@@ -1,4 +1,4 @@
-"""Tests of a whole fleet that starts at once, on thin links."""
+"""Tests of a fleet that starts all at once over slow links."""
 
 import asyncio
 import collections
@@ -17,24 +17,24 @@
 LINK_BYTES_S = 287_000
 START_S = 1.0
 SERVING_S = 2.0
-PLAYED_S = 12.0
+DURATION_S = 12.0
 
 
 class Traffic(typing.NamedTuple):
-    """What the hosts of a fleet sent to each other.
+    """Counts of what the hosts of a fleet sent to each other.
 
-    :param bytes: by message type.
-    :param far: bytes that left their data centre.
-    :param records: records that arrived by flooding, by receiver and record.
+    :param bytes: bytes by message type.
+    :param remote: bytes sent between data centres, as the only item.
+    :param records: deliveries by flooding, by receiver and record version.
     """
 
     bytes: collections.Counter
-    far: list[int]
+    remote: list[int]
     records: collections.Counter
 
 
 def observe(network, centres) -> Traffic:
-    """Count what a network carries from now on.
+    """Count what a network transports from now on.
 
     :param centres: data centres by address.
     """
@@ -44,7 +44,7 @@
         message = wire.decode(data).ok.message
         traffic.bytes[type(message).__name__] += len(data)
         if centres[source] != centres[target]:
-            traffic.far[0] += len(data)
+            traffic.remote[0] += len(data)
         if isinstance(message, messages.Batch):
             for record in message.records:
                 key = (target, record.host, record.version)
@@ -55,7 +55,7 @@
 
 
 async def start_at_once(network, size, seed=1):
-    """Start hosts within a second; each has an upstream soon after."""
+    """Start hosts within START_S; each announces an upstream afterwards."""
     rng = random.Random(seed)
     nodes = [
         membership_tests.make_node(
@@ -79,15 +79,15 @@
 
 
 def suspicions(nodes):
-    """Return how often a host was suspected, by all together."""
+    """Return the number of suspicions recorded by all nodes."""
     return sum(
         membership_tests.event_kinds(node).count('member-suspected')
         for node in nodes
     )
 
 
-def test_start_of_a_whole_fleet_does_not_fill_thin_links():
-    """Guards against joins that are flooded over every edge at once."""
+def test_start_of_a_fleet_does_not_saturate_slow_links():
+    """Guards against joins that are flooded over every link at once."""
 
     async def _run():
         network = fakes.Network(seed=3, link_bytes_s=LINK_BYTES_S)
@@ -97,13 +97,13 @@
         }
         traffic = observe(network, centres)
         nodes = await start_at_once(network, HOSTS)
-        await asyncio.sleep(PLAYED_S - START_S - SERVING_S)
+        await asyncio.sleep(DURATION_S - START_S - SERVING_S)
         assert all(
             len(membership_tests.upstream_states(node)) == HOSTS
             for node in nodes
         )
         assert suspicions(nodes) == 0
-        sent = sum(traffic.bytes.values()) / HOSTS / PLAYED_S
+        sent = sum(traffic.bytes.values()) / HOSTS / DURATION_S
         assert sent <= 30_000
         copies = traffic.records.values()
         assert sum(copies) / len(copies) <= 1.2
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize('loss', [0.0, 0.2])
-def test_leave_is_in_force_everywhere_within_two_seconds(loss):
-    """Guards against a leave that waits behind the start of a fleet."""
+def test_drain_reaches_all_nodes_within_two_seconds(loss):
+    """Guards against a drain that queues behind the start of a fleet."""
 
     async def _run():
         network = fakes.Network(seed=4, link_bytes_s=LINK_BYTES_S)
