--- a/carawaystair/admission/gate.py
+++ b/carawaystair/admission/gate.py
@@ -1,4 +1,4 @@
-"""The slots and the queue of one service on this node."""
+"""The admission gate of one service: its slots and its queue."""
 
 import asyncio
 import math
@@ -6,75 +6,85 @@
 
 import expression
 
-from carawaystair.admission import estimates
-from carawaystair.admission import flows
+from carawaystair.admission import fair_queue
+from carawaystair.admission import hold_time
 from carawaystair.admission import limiter
 from carawaystair import clock
 from carawaystair import codes
 from carawaystair import interfaces
 from carawaystair import invariants
 
-# A fractional slot rests between two requests, but no longer than this.
+# Maximum rest of a fractional slot between two requests, in seconds.
 MAX_REST_S = 5.0
-# Smallest fraction of a slot that a node may use.
-LEAST_LIMIT = 0.02
-# Little runs when the limit is this many times as high.
-QUIET = 2
+# Smallest fraction of a slot that is used.
+MIN_LIMIT = 0.02
+# Load is low while the limit is at least this many times what runs.
+LOW_LOAD_FACTOR = 2
 # Weight of a new sample in the mean number of short requests.
 DEMAND_SMOOTHING = 1 / 64
-# Charged for a request as long as no other has shown its time.
-FIRST_COST_S = 0.05
-# Bounds of what callers are told in Retry-After.
+# Slot time charged for a request before the first measurement, in seconds.
+INITIAL_COST_S = 0.05
+# Bounds of Retry-After in seconds.
 MIN_RETRY_S = 1.0
 MAX_RETRY_S = 30.0
 
-# Codes after which a caller may be told when to come back.
 Result = expression.Result[interfaces.Permit, codes.Failure]
 
 
 class Permit:
-    """Leave to run one request, see ``interfaces.Permit``.
+    """Permission to run one request, see ``interfaces.Permit``.
 
-    :param gate: where it came from.
+    :param gate: the gate that issued it.
     :param flow: the customer's flow that it is charged to.
     :param bulk: whether it is a long transfer.
-    :param paced: whether it holds the fractional slot.
-    :param quiet: whether little ran when it began.
+    :param fractional: whether it holds the fractional slot.
+    :param low_load: whether load was low when it started.
     :param cost: slot time charged at its start, in seconds.
-    :param started: monotonic time of its start.
+    :param started: monotonic time of its start, in seconds.
     """
 
-    __slots__ = ('bulk', 'cost', 'flow', 'gate', 'paced', 'quiet', 'started')
+    __slots__ = (
+        'bulk',
+        'cost',
+        'flow',
+        'gate',
+        'fractional',
+        'low_load',
+        'started',
+    )
 
     def __init__(
         self,
         gate: 'Gate',
-        flow: flows.Flow,
+        flow: fair_queue.Flow,
         bulk: bool,
-        paced: bool,
-        quiet: bool,
+        fractional: bool,
+        low_load: bool,
         cost: float,
         started: float,
     ) -> None:
         self.gate: Gate | None = gate
         self.flow = flow
         self.bulk = bulk
-        self.paced = paced
-        self.quiet = quiet
+        self.fractional = fractional
+        self.low_load = low_load
         self.cost = cost
         self.started = started
 
     def release(self, outcome: str, latency_s: float) -> None:
-        """Give the slot back with what the request showed.
+        """Return the slot and report the outcome of the request.
 
         :param outcome: a constant of ``interfaces``, such as ``GOOD``.
-        :param latency_s: from the first byte sent to the last received.
+        :param latency_s: seconds from the first byte sent to the last
+            received.
         """
         gate, self.gate = self.gate, None
-        # A slot given back twice would let more run than there are slots,
-        # and would show only as sheds of upstreams.
+        # A slot that is returned twice would let more requests run than there
+        # are slots, and would show only as requests shed by upstreams.
         if invariants.check(
-            invariants.SLOT_ACCOUNTING, gate is not None, 'released twice'
+            invariants.SLOT_ACCOUNTING,
+            gate is not None,
+            'permit released twice',
         ):
             gate.finish(self, outcome, latency_s)
 
@@ -82,17 +92,17 @@
 class Gate:
     """The slots and the queue of one service on this node.
 
-    :param service: its name.
-    :param flow: makes the flow of a customer, by name; unknown customers
-        get one and the same flow.
-    :param queue_limit: requests that may wait.
-    :param report: called as ``report(kind, text)`` for the time line.
+    :param service: name of the service.
+    :param flow: creates the flow of a customer by name; all unknown customers
+        share one flow.
+    :param queue_limit: number of requests that may wait.
+    :param report: called as ``report(kind, text)`` to record an event.
     """
 
     def __init__(
         self,
         service: str,
-        flow: typing.Callable[[str], flows.Flow],
+        flow: typing.Callable[[str], fair_queue.Flow],
         queue_limit: int,
         report: typing.Callable[[str, str], None],
     ) -> None:
@@ -100,24 +110,24 @@
         self.make_flow = flow
         self.queue_limit = queue_limit
         self.report = report
-        self.flows: dict[str, flows.Flow] = {}
-        self.queue = flows.FairQueue()
-        self.times = {
-            False: estimates.HoldTime(),
-            True: estimates.HoldTime(),
+        self.flows: dict[str, fair_queue.Flow] = {}
+        self.queue = fair_queue.FairQueue()
+        self.hold_times = {
+            False: hold_time.HoldTime(),
+            True: hold_time.HoldTime(),
         }
-        # The slots due to this node, and what is used of them.
+        # The share of the slots allotted to this node, and the limit in use.
         self.share = 0.0
         self.limiter: limiter.Limiter | None = None
         self.limit = 0.0
-        self.whole = 0
+        self.whole_slots = 0
         self.running = 0
         self.running_bulk = 0
-        self.running_paced = 0
-        # Short requests that run or wait, in the mean over starts.
+        self.running_fractional = 0
+        # Mean number of running and waiting short requests, sampled at starts.
         self.short_demand = 0.0
         self.rest_until = 0.0
-        self.alarm: asyncio.TimerHandle | None = None
+        self.rest_timer: asyncio.TimerHandle | None = None
         # Counters for the metrics.
         self.admitted = 0
         self.queued = 0
@@ -128,14 +138,14 @@
     def try_start(
         self, customer: str, deadline: float, bulk: bool
     ) -> Permit | None:
-        """Start a request at once when a slot is free and nobody waits."""
+        """Start a request if a slot is free and no request waits."""
         if self.queue.size:
             return None
         now = clock.now()
-        if not self._room(now) or not self._may(bulk):
+        if not self._slot_free(now) or not self._kind_may_start(bulk):
             return None
         flow = self.flows.get(customer) or self.flow(customer)
-        if flow.capped() or self._late(deadline, bulk, now):
+        if flow.at_limit() or self._would_miss_deadline(deadline, bulk, now):
             return None
         return self._start(flow, bulk, now)
 
@@ -154,70 +164,74 @@
             self._abandon(waiter)
             raise
 
-    def flow(self, customer: str) -> flows.Flow:
+    def flow(self, customer: str) -> fair_queue.Flow:
         """Return the flow that a customer's requests are charged to."""
         flow = self.flows.get(customer)
         if flow is None:
             flow = self.make_flow(customer)
-            # An unknown customer shares a flow that may be here already;
-            # its own name is not kept, or callers could fill the memory.
+            # An unknown customer shares a flow that may exist already.  Its
+            # name is not kept, so that callers can't exhaust memory.
             flow = self.flows.setdefault(flow.customer, flow)
         return flow
 
-    def expected_wait(self, flow: flows.Flow, bulk: bool = False) -> float:
+    def expected_wait(
+        self, flow: fair_queue.Flow, bulk: bool = False
+    ) -> float:
         """Return the seconds until a new request of ``flow`` would start."""
-        mean = self.times[bulk].mean or self.times[not bulk].mean
-        rate = max(self.limit, LEAST_LIMIT) / max(mean, estimates.LEAST_S)
+        mean = self.hold_times[bulk].mean or self.hold_times[not bulk].mean
+        rate = max(self.limit, MIN_LIMIT) / max(mean, hold_time.MIN_S)
         fair = flow.waiting * self.queue.weight(flow) / flow.weight
         return (1 + min(fair, self.queue.size)) / rate
 
     def retry_after(self) -> float:
         """Return when a refused request may be tried again, in seconds."""
-        mean = max(held.mean for held in self.times.values())
-        drain = self.queue.size * mean / max(self.limit, LEAST_LIMIT)
+        mean = max(held.mean for held in self.hold_times.values())
+        drain = self.queue.size * mean / max(self.limit, MIN_LIMIT)
         return min(max(drain, MIN_RETRY_S), MAX_RETRY_S)
 
     def _refusal(
-        self, flow: flows.Flow, deadline: float, bulk: bool, now: float
+        self, flow: fair_queue.Flow, deadline: float, bulk: bool, now: float
     ) -> codes.Failure | None:
-        """Return why a request can't even wait, or None."""
+        """Return the failure of a request that may not wait, or None."""
         if deadline <= now:
             return self.refuse(codes.DEADLINE_PASSED, flow)
-        if self._late(deadline, bulk, now):
+        if self._would_miss_deadline(deadline, bulk, now):
             return self.refuse(codes.DEADLINE_SHORT, flow)
         start = now + self.expected_wait(flow, bulk)
-        if self.queue.size and start + self.times[bulk].median > deadline:
+        if self.queue.size and start + self.hold_times[bulk].median > deadline:
             return self.refuse(codes.DEADLINE_SHORT, flow)
         if self.queue.size >= self.queue_limit:
             return self._make_room(flow)
         return None
 
-    def _late(self, deadline: float, bulk: bool, now: float) -> bool:
-        """Tell whether a request is too late even if it starts now.
+    def _would_miss_deadline(
+        self, deadline: float, bulk: bool, now: float
+    ) -> bool:
+        """Return whether a request would be late even if it started now.
 
-        While nothing runs it never is: otherwise one bad estimate would
-        refuse all work, and no answer would ever correct it.
+        While nothing runs, only the deadline itself counts.  Otherwise a wrong
+        estimate would refuse all requests, and no answer could correct it.
         """
         if not self.running:
             return deadline <= now
-        return now + self.times[bulk].median >= deadline
+        return now + self.hold_times[bulk].median >= deadline
 
-    def _make_room(self, flow: flows.Flow) -> codes.Failure | None:
-        """Push out the newest of the longest queue, or refuse.
+    def _make_room(self, flow: fair_queue.Flow) -> codes.Failure | None:
+        """Drop the newest waiter of the longest flow, or refuse.
 
-        Dropping from the longest queue (McKenney, 1990) keeps a customer
-        that fills the queue from shutting out the others.
+        Dropping from the longest flow (McKenney, 1990) keeps a customer that
+        fills the queue from shutting out the others.
         """
         longest = self.queue.longest(flow)
         alone = len(self.queue.backlogged) == 1 and flow.waiting
         code = codes.QUEUE_FULL if alone else codes.CUSTOMER_QUEUE_FULL
         if longest is flow:
             return self.refuse(code, flow)
-        victim = longest.newest()
-        self._fail(victim, codes.CUSTOMER_QUEUE_FULL)
+        newest = longest.newest()
+        self._fail(newest, codes.CUSTOMER_QUEUE_FULL)
         return None
 
-    def refuse(self, code: codes.Code, flow: flows.Flow) -> codes.Failure:
+    def refuse(self, code: codes.Code, flow: fair_queue.Flow) -> codes.Failure:
         """Count a refusal and return it."""
         count = self.refused.get(code, 0)
         self.refused[code] = count + 1
@@ -229,39 +243,39 @@
     # The queue
 
     def _enqueue(
-        self, flow: flows.Flow, deadline: float, bulk: bool
-    ) -> flows.Waiter:
+        self, flow: fair_queue.Flow, deadline: float, bulk: bool
+    ) -> fair_queue.Waiter:
         loop = asyncio.get_running_loop()
-        waiter = flows.Waiter(flow, bulk, deadline, loop.create_future())
-        # From then on it could not finish in time any more.
-        latest = deadline - self.times[bulk].median
+        waiter = fair_queue.Waiter(flow, bulk, deadline, loop.create_future())
+        # A later start would miss the deadline.
+        latest = deadline - self.hold_times[bulk].median
         waiter.timer = loop.call_at(latest, self._expire, waiter)
         self.queue.push(waiter)
         self.queued += 1
         return waiter
 
-    def _expire(self, waiter: flows.Waiter) -> None:
+    def _expire(self, waiter: fair_queue.Waiter) -> None:
         self._fail(waiter, codes.DEADLINE_PASSED)
 
-    def _fail(self, waiter: flows.Waiter, code: codes.Code) -> None:
-        """Give a waiter its final answer."""
-        self._take(waiter)
+    def _fail(self, waiter: fair_queue.Waiter, code: codes.Code) -> None:
+        """Remove a waiter and refuse its request."""
+        self._dequeue(waiter)
         if not waiter.future.done():
             failure = self.refuse(code, waiter.flow)
             waiter.future.set_result(expression.Error(failure))
 
-    def _take(self, waiter: flows.Waiter) -> None:
-        """Take a waiter out of the queue."""
+    def _dequeue(self, waiter: fair_queue.Waiter) -> None:
+        """Remove a waiter and cancel its timer."""
         self.queue.remove(waiter)
         waiter.timer.cancel()
 
-    def _abandon(self, waiter: flows.Waiter) -> None:
-        """Free the place of a caller that went away.
+    def _abandon(self, waiter: fair_queue.Waiter) -> None:
+        """Remove the waiter of a caller that went away.
 
-        It may have been given a slot just before: that would be lost for
-        good if nobody gave it back.
+        If it got a slot just before, the slot is released; it would be lost
+        otherwise.
         """
-        self._take(waiter)
+        self._dequeue(waiter)
         future = waiter.future
         if (
             future.done()
@@ -271,79 +285,88 @@
             future.result().ok.release(interfaces.CANCELLED, 0.0)
 
     def fail_all(self, code: codes.Code) -> None:
-        """Refuse everyone who waits, as this node stops."""
+        """Refuse all waiting requests."""
         for waiter in self.queue.waiters():
             self._fail(waiter, code)
 
     def dispatch(self) -> None:
-        """Start those whose turn it is while there are slots."""
+        """Start waiting requests in fair order while slots are free."""
         now = clock.now()
-        while self.queue.size and self._room(now):
-            waiter = self.queue.pick(self._may(False), self._may(True))
+        while self.queue.size and self._slot_free(now):
+            waiter = self.queue.pick(
+                self._kind_may_start(False), self._kind_may_start(True)
+            )
             if waiter is None:
                 return
-            self._take(waiter)
+            self._dequeue(waiter)
             if not waiter.future.done():
                 permit = self._start(waiter.flow, waiter.bulk, now)
                 waiter.future.set_result(expression.Ok(permit))
-        self._wake(now)
+        self._schedule_rest_end(now)
 
-    def _wake(self, now: float) -> None:
-        """Come back when the fractional slot has rested."""
-        if self.queue.size and self.rest_until > now and self.alarm is None:
+    def _schedule_rest_end(self, now: float) -> None:
+        """Dispatch again at the end of the fractional slot's rest."""
+        if (
+            self.queue.size
+            and self.rest_until > now
+            and self.rest_timer is None
+        ):
             loop = asyncio.get_running_loop()
-            self.alarm = loop.call_at(self.rest_until, self._rested)
+            self.rest_timer = loop.call_at(self.rest_until, self._end_rest)
 
-    def _rested(self) -> None:
-        self.alarm = None
+    def _end_rest(self) -> None:
+        self.rest_timer = None
         self.dispatch()
 
     # Slots
 
     def set_share(self, share: float) -> None:
-        """Change the slots that are due to this node.
+        """Set the share of the slots allotted to this node.
 
-        :param share: slots; a fraction is used for that part of the time.
+        :param share: number of slots; a fraction of a slot is used for that
+            part of the time.
         """
         self.share = share
         factor = self.limiter.factor if self.limiter is not None else 1.0
         self._set_limit(factor)
 
     def _set_limit(self, factor: float) -> None:
-        """Use a multiple of the share, but no less than one slot of it."""
+        """Set the limit to a multiple of the share, but keep one slot."""
         self.limit = max(self.share * factor, min(self.share, 1.0))
-        self.whole = int(self.limit)
+        self.whole_slots = int(self.limit)
         if self.queue.size:
             self.dispatch()
 
-    def _learn(self, permit: Permit, outcome: str, latency_s: float) -> None:
-        """Let answers show how many slots there truly are."""
+    def _update_limit(
+        self, permit: Permit, outcome: str, latency_s: float
+    ) -> None:
+        """Adapt the limit to the outcome of a request."""
         now = clock.now()
         if self.limiter is None:
             self.limiter = limiter.Limiter(now)
         if outcome == interfaces.GOOD:
             waiting = self.queue.size > 0
-            self.limiter.answered(latency_s, permit.quiet, waiting)
+            self.limiter.record_answer(latency_s, permit.low_load, waiting)
         elif outcome == interfaces.SHED:
-            self.limiter.shed()
+            self.limiter.record_shed()
         if self.limiter.due(now):
             self._set_limit(self.limiter.update(now))
 
-    def _room(self, now: float) -> bool:
-        """Tell whether a slot is free."""
-        if self.running - self.running_paced < self.whole:
+    def _slot_free(self, now: float) -> bool:
+        """Return whether a slot is free."""
+        if self.running - self.running_fractional < self.whole_slots:
             return True
-        fraction = self.limit - self.whole
-        free = not self.running_paced and now >= self.rest_until
-        return fraction >= LEAST_LIMIT and free
+        fraction = self.limit - self.whole_slots
+        free = not self.running_fractional and now >= self.rest_until
+        return fraction >= MIN_LIMIT and free
 
-    def _may(self, bulk: bool) -> bool:
-        """Tell whether one more request of this kind may run.
+    def _kind_may_start(self, bulk: bool) -> bool:
+        """Return whether one more request of this kind may run.
 
-        Long transfers would hold every slot for seconds while short queries
-        wait.  So they leave free what short requests were measured to need,
-        with one standard deviation of a Poisson number on top, and at least
-        one slot.
+        Long transfers could hold every slot for seconds while short requests
+        wait.  So they leave free the measured number of slots that short
+        requests need plus one standard deviation of a Poisson distribution,
+        and at least one slot.
         """
         if not bulk:
             return True
@@ -351,55 +374,55 @@
         bound = int(self.limit - max(needed, 1.0))
         return self.running_bulk < max(bound, 1)
 
-    def _start(self, flow: flows.Flow, bulk: bool, now: float) -> Permit:
-        paced = self.running - self.running_paced >= self.whole
-        cost = self.times[bulk].mean or FIRST_COST_S
+    def _start(self, flow: fair_queue.Flow, bulk: bool, now: float) -> Permit:
+        fractional = self.running - self.running_fractional >= self.whole_slots
+        cost = self.hold_times[bulk].mean or INITIAL_COST_S
         self.queue.charge(flow, cost)
-        short = self.running - self.running_bulk + self.queue.size_short
+        short = self.running - self.running_bulk + self.queue.short_size
         self.short_demand += (short - self.short_demand) * DEMAND_SMOOTHING
-        quiet = self.running * QUIET <= self.limit
+        low_load = self.running * LOW_LOAD_FACTOR <= self.limit
         flow.running += 1
         self.running += 1
         self.running_bulk += bulk
-        self.running_paced += paced
+        self.running_fractional += fractional
         self.admitted += 1
-        return Permit(self, flow, bulk, paced, quiet, cost, now)
+        return Permit(self, flow, bulk, fractional, low_load, cost, now)
 
     def finish(self, permit: Permit, outcome: str, latency_s: float) -> None:
-        """Take a slot back and give it to the next in turn."""
+        """Take a slot back and learn from the outcome."""
         held = clock.now() - permit.started
-        times = self.times[permit.bulk]
+        times = self.hold_times[permit.bulk]
         if outcome == interfaces.SHED and times.mean > held:
-            # An upstream had no such slot.  Were it free at once, the next
-            # in turn would be shed too, and a whole queue within moments.
+            # The upstream had no such slot.  If the slot were free at once,
+            # the next request would be shed too, and then the whole queue.
             loop = asyncio.get_running_loop()
             loop.call_later(times.mean - held, self._free, permit, 0.0)
         else:
             self._free(permit, held)
         if outcome not in (interfaces.CANCELLED, interfaces.SHED):
-            times.held(held)
+            times.record_hold(held)
         if outcome == interfaces.GOOD:
-            times.answered(latency_s)
+            times.record_answer(latency_s)
         if not permit.bulk:
-            self._learn(permit, outcome, latency_s)
+            self._update_limit(permit, outcome, latency_s)
 
     def _free(self, permit: Permit, held: float) -> None:
-        """Give a slot to the next in turn.
+        """Free a slot and start the next request.
 
-        :param held: slot time that the customer is charged, in seconds.
+        :param held: slot time charged to the customer, in seconds.
         """
         permit.flow.running -= 1
         self.running -= 1
         self.running_bulk -= permit.bulk
         self.queue.settle(permit.flow, held - permit.cost)
-        if permit.paced:
+        if permit.fractional:
             self._rest(held, clock.now())
         if self.queue.size:
             self.dispatch()
 
     def _rest(self, held: float, now: float) -> None:
-        """Let the fractional slot rest, so that its mean use is right."""
-        self.running_paced -= 1
-        fraction = max(self.limit - self.whole, LEAST_LIMIT)
+        """Let the fractional slot rest for the unused part of its time."""
+        self.running_fractional -= 1
+        fraction = max(self.limit - self.whole_slots, MIN_LIMIT)
         rest = held * (1 - fraction) / fraction
         self.rest_until = now + min(rest, MAX_REST_S)
