--- a/carawaystair/outlier/service.py
+++ b/carawaystair/outlier/service.py
@@ -1,4 +1,4 @@
-"""Outlier detection of one process: puts its parts together."""
+"""The outlier detection service of one process."""
 
 import asyncio
 import random
@@ -8,36 +8,36 @@
 
 from carawaystair import clock
 from carawaystair import interfaces
-from carawaystair.outlier import choice as choices
 from carawaystair.outlier import detectors
 from carawaystair.outlier import evidence
 from carawaystair.outlier import health
-from carawaystair.outlier import known as knowns
-from carawaystair.outlier import lead
+from carawaystair.outlier import in_flight
+from carawaystair.outlier import leadership
 from carawaystair.outlier import messages
-from carawaystair.outlier import outgoing
-from carawaystair.outlier import watch as watches
+from carawaystair.outlier import paced_sender
+from carawaystair.outlier import placement as placements
+from carawaystair.outlier import upstream_index
 from carawaystair import timeline as timelines
 
 SWEEP_S = 1.0
-# The detector of a service that names one that is not installed.
-DEFAULT = 'siblings'
+# Used for a service whose manifest names a detector that is not installed.
+DEFAULT_DETECTOR = 'siblings'
 
 Sleep = typing.Callable[[float], typing.Awaitable]
 
 
 class OutlierDetection(mode.Service):
-    """Keeps ``interfaces.Health`` and ``interfaces.Evidence``.
+    """Implements ``interfaces.Health`` and ``interfaces.Evidence``.
 
     :param members: the processes of the fleet.
     :param directory: the upstreams.
     :param routing: returns the current routing.
-    :param links: questions and answers between processes.
+    :param links: requests between processes.
     :param datagrams: reports and states between processes.
-    :param timeline: takes the events.
+    :param timeline: records events.
     :param factories: detector factories by name.
     :param rng: source of randomness.
-    :param sleep: waits; tests let it stall to stand in for a pause.
+    :param sleep: waits; tests pass one that stalls to simulate a pause.
     """
 
     def __init__(
@@ -57,21 +57,23 @@
         self.members = members
         self.factories = factories
         self.sleep = sleep
-        self.known = knowns.Known(directory, routing)
-        self.choice = choices.Choice(members)
-        self.outgoing = self.add_dependency(outgoing.Outgoing(datagrams))
-        self.health = health.Health(members.me, self.known, rng)
+        self.index = upstream_index.UpstreamIndex(directory, routing)
+        self.placement = placements.Placement(members)
+        self.paced_sender = self.add_dependency(
+            paced_sender.PacedSender(datagrams)
+        )
+        self.health = health.Health(members.me, self.index, rng)
         self.evidence = evidence.Evidence(
-            self.health, self.tell, self.make, timeline, rng
+            self.health, self.send_report, self.make_detector, timeline, rng
         )
-        self.lead = self.add_dependency(
-            lead.Lead(
-                self.choice,
-                self.known,
+        self.leadership = self.add_dependency(
+            leadership.Leadership(
+                self.placement,
+                self.index,
                 links,
                 self,
-                self.pooled,
-                self.health.outstanding,
+                self.make_pooled_detector,
+                self.health.outstanding_leases,
                 timeline,
                 rng,
             )
@@ -84,10 +86,10 @@
         }
         for kind, handler in self.handlers.items():
             datagrams.handle(kind, handler)
-        self._expose()
+        self._bind_request_path()
 
-    def _expose(self) -> None:
-        """Take the hot path straight to the parts."""
+    def _bind_request_path(self) -> None:
+        """Bind the methods of the request path without an extra call."""
         self.ejected = self.health.ejected
         self.weight = self.health.weight
         self.trial = self.health.trial
@@ -96,39 +98,41 @@
         self.record_health_hint = self.evidence.record_health_hint
 
     def send(self, addresses: typing.Iterable[str], parts) -> None:
-        """Send datagrams; those to this process take no detour."""
+        """Send datagrams; those to this process are handled directly."""
         me = self.members.me.gossip
         others = [address for address in addresses if address != me]
         if len(others) < len(tuple(addresses)):
             for part in parts:
                 self.handlers[type(part)](me, part)
-        self.outgoing.send(others, parts)
+        self.paced_sender.send(others, parts)
 
-    def tell(self, report: messages.Report) -> None:
+    def send_report(self, report: messages.Report) -> None:
         """Send a report to the coordinator of its service."""
-        chosen = self.choice.of(report.service)
+        chosen = self.placement.assignment(report.service)
         self.send((chosen.coordinator.gossip,), (report,))
 
-    def make(self, service: str) -> detectors.Detector:
-        """Return a new detector of the kind that a service asks for."""
-        name = self.known.service(service).detector
-        return self.factories.get(name, self.factories[DEFAULT])()
+    def make_detector(self, service: str) -> detectors.Detector:
+        """Return a new detector as configured for a service."""
+        name = self.index.service(service).detector
+        return self.factories.get(name, self.factories[DEFAULT_DETECTOR])()
 
-    def pooled(self, service: str) -> detectors.Detector:
+    def make_pooled_detector(self, service: str) -> detectors.Detector:
         """Return a new detector for the coordinator of a service."""
-        detector = self.make(service)
-        return detector if detector.pooled else self.factories[DEFAULT]()
+        detector = self.make_detector(service)
+        return (
+            detector if detector.pooled else self.factories[DEFAULT_DETECTOR]()
+        )
 
     @mode.Service.task
     async def _tick(self) -> None:
-        """Look for overdue answers and send what is due."""
+        """Check attempts in flight and send the reports that are due."""
         while not self.should_stop:
-            await self.sleep(watches.TICK_S)
+            await self.sleep(in_flight.TICK_S)
             self.evidence.tick(clock.now())
 
     @mode.Service.task
     async def _sweep(self) -> None:
-        """Forget what is over."""
+        """Remove what has expired."""
         while not self.should_stop:
             await self.sleep(SWEEP_S)
             now = clock.now()
@@ -136,13 +140,13 @@
             self.evidence.sweep(now)
 
     def _report(self, sender: str, message: messages.Report) -> None:
-        self.lead.take(message, sender)
+        self.leadership.receive_report(message, sender)
 
     def _state(self, sender: str, message: messages.State) -> None:
         self.health.accept(message)
 
     def _pace(self, sender: str, message: messages.Pace) -> None:
-        self.evidence.take_pace(message)
+        self.evidence.apply_pace(message)
 
     def _mirror(self, sender: str, message: messages.Mirror) -> None:
-        self.lead.mirror(message)
+        self.leadership.receive_mirror(message)
