--- a/test/test_platform_border.py
+++ b/test/test_platform_border.py
@@ -11,7 +11,7 @@
 from test import platform_setup  # makes the next import possible
 
 from adapter import main
-from adapter import place
+from adapter import platform_settings
 
 ROOT = pathlib.Path(__file__).parent.parent
 OUTSIDE = ('carawaystair', 'carawaystairplug', 'standin', 'bench', 'tools')
@@ -25,7 +25,7 @@
     r'CARAWAYSTAIR_CONFIG|\bapp_addr\b|\bnode_name\b',
     re.IGNORECASE,
 )
-MOST_LINES = 1500
+MAX_LINES = 1500
 
 
 def test_standard_module_is_still_found():
@@ -68,11 +68,11 @@
         len(path.read_text().splitlines())
         for path in platform_setup.FOLDER.rglob('*.py')
     )
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
 
 
 def test_headers_of_the_platform_are_those_of_the_settings():
-    assert set(place.HEADERS) == set(settings.Headers._fields)
+    assert set(platform_settings.HEADERS) == set(settings.Headers._fields)
 
 
 def test_deploy_file_names_the_port_of_the_metrics_and_pinned_libraries():
--- a/test/test_platform_documents.py
+++ b/test/test_platform_documents.py
@@ -13,10 +13,10 @@
 
 from adapter import configuration
 from adapter import fields
-from adapter import place
+from adapter import platform_settings
 from adapter import upstreams
 
-TERMS = configuration.Terms({'r': ('a', 'b')}, 70, 20)
+CONSTANTS = configuration.ManifestConstants({'r': ('a', 'b')}, 70, 20)
 JSON = strategies.recursive(
     strategies.none()
     | strategies.booleans()
@@ -33,15 +33,17 @@
 )
 
 
-def read(document, whole=True):
+def parse(document, complete=True):
     """Read a configuration that is given as a document."""
-    return configuration.read(json.dumps(document).encode(), whole, TERMS)
+    return configuration.parse(
+        json.dumps(document).encode(), complete, CONSTANTS
+    )
 
 
 def manifest_of(document):
     """Return the checked manifest of a whole configuration."""
-    made = configuration.applied(read(document), None, TERMS)
-    result = manifests.read(configuration.document(made))
+    made = configuration.apply(parse(document), None, CONSTANTS)
+    result = manifests.read(configuration.encode_manifest(made))
     assert result.is_ok(), result.error
     return result.ok
 
@@ -50,7 +52,9 @@
 
 
 def test_settings_of_a_host_with_an_upstream():
-    made = place.fleet_settings(place.read(platform_setup.settings()))
+    made = platform_settings.fleet_settings(
+        platform_settings.parse(platform_setup.settings())
+    )
     assert made.host == '10.1.0.41'
     assert made.roles == ('node',)
     assert made.node.listen == '10.1.0.41:8629'
@@ -74,7 +78,7 @@
     document = platform_setup.settings()
     if limits is not None:
         document['self']['limits'] = limits
-    made = place.fleet_settings(place.read(document))
+    made = platform_settings.fleet_settings(platform_settings.parse(document))
     assert made.node.link_mbps == mbps
 
 
@@ -85,7 +89,7 @@
     document = platform_setup.settings()
     document['self']['limits'] = limits
     with pytest.raises(fields.Malformed, match='limits|link_mbps'):
-        place.fleet_settings(place.read(document))
+        platform_settings.fleet_settings(platform_settings.parse(document))
 
 
 def test_settings_of_a_control_host():
@@ -97,7 +101,7 @@
         self__service=None,
         network__listen={'control': '10.1.0.48:8620'},
     )
-    made = place.fleet_settings(place.read(document))
+    made = platform_settings.fleet_settings(platform_settings.parse(document))
     assert made.roles == ('control',)
     assert made.data_folder == '/data'
     assert not made.control.founds
@@ -106,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    'path, value, named',
+    'path, value, message',
     [
         ('self__ip', None, 'self.ip is missing'),
         ('self__ip', 7, 'self.ip must be text'),
@@ -119,22 +123,22 @@
         ('terms', None, 'settings.terms is missing'),
     ],
 )
-def test_mistake_in_settings_is_named(path, value, named):
+def test_mistake_in_settings_is_named(path, value, message):
     document = platform_setup.settings(**{path: value})
-    with pytest.raises(fields.Malformed, match=named):
-        place.read(document)
+    with pytest.raises(fields.Malformed, match=message):
+        platform_settings.parse(document)
 
 
 def test_unknown_settings_are_passed_over():
     document = platform_setup.settings(self__colour='blue')
     document['weather'] = {'rain': True}
-    assert place.read(document).ip == '10.1.0.41'
+    assert platform_settings.parse(document).ip == '10.1.0.41'
 
 
 @hypothesis.given(JSON)
 def test_any_settings_are_read_or_refused(document):
     try:
-        place.read(document if isinstance(document, dict) else {})
+        platform_settings.parse(document if isinstance(document, dict) else {})
     except fields.Malformed as error:
         assert str(error)
 
@@ -162,8 +166,8 @@
     )
     manifest = manifest_of(sent)
     stored = rows.to_manifest(rows.from_manifest(manifest))
-    back = configuration.written(stored)
-    assert back['version'] == sent['version']
+    returned = configuration.to_document(stored)
+    assert returned['version'] == sent['version']
 
     def _sorted(document):
         return sorted(document['resources'], key=json.dumps)
@@ -171,7 +175,7 @@
     def _plain(document):
         return [json.dumps(item, sort_keys=True) for item in _sorted(document)]
 
-    assert sorted(_plain(back)) == sorted(_plain(sent))
+    assert sorted(_plain(returned)) == sorted(_plain(sent))
 
 
 def test_kinds_of_routes_say_what_may_be_repeated():
@@ -211,7 +215,7 @@
         },
         'remove': {'routes': ['b']},
     }
-    made = configuration.applied(read(change, whole=False), now, TERMS)
+    made = configuration.apply(parse(change, complete=False), now, CONSTANTS)
     assert {r.name: r.service for r in made.routes} == {
         'a': 'two',
         'c': 'one',
@@ -246,24 +250,24 @@
 def test_invalid_routes_are_refused(changes):
     sent = platform_setup.configuration(platform_setup.route(**changes))
     try:
-        made = configuration.applied(read(sent), None, TERMS)
+        made = configuration.apply(parse(sent), None, CONSTANTS)
     except fields.Malformed as error:
         assert str(error).endswith('.')
         return
-    assert manifests.read(configuration.document(made)).is_error()
+    assert manifests.read(configuration.encode_manifest(made)).is_error()
 
 
 def test_configuration_that_is_cut_short_is_refused():
     data = json.dumps(platform_setup.configuration()).encode()
     for end in range(0, len(data) - 1, 37):
         with pytest.raises(fields.Malformed):
-            configuration.read(data[:end], True, TERMS)
+            configuration.parse(data[:end], True, CONSTANTS)
 
 
 @hypothesis.given(JSON, strategies.booleans())
-def test_any_configuration_is_read_or_refused(document, whole):
+def test_any_configuration_is_read_or_refused(document, complete):
     try:
-        read(document, whole)
+        parse(document, complete)
     except fields.Malformed as error:
         assert str(error)
 
@@ -271,7 +275,7 @@
 @hypothesis.given(strategies.binary(max_size=64))
 def test_any_bytes_are_refused_as_a_configuration(data):
     with pytest.raises(fields.Malformed):
-        configuration.read(data, True, TERMS)
+        configuration.parse(data, True, CONSTANTS)
 
 
 # Heartbeats
@@ -280,29 +284,31 @@
 
 
 def test_heartbeat_becomes_an_announcement():
-    beat = upstreams.read(json.dumps(BEAT).encode())
-    said = beat.announcement
-    assert (said.service, said.slots, said.state) == (
+    heartbeat = upstreams.parse_heartbeat(json.dumps(BEAT).encode())
+    announcement = heartbeat.announcement
+    assert (announcement.service, announcement.slots, announcement.state) == (
         'huvo11a',
         4,
         interfaces.UP,
     )
-    assert (said.warmup_s, beat.number) == (1.5, 4)
-    leaving = upstreams.read(json.dumps(BEAT | {'state': 'draining'}).encode())
+    assert (announcement.warmup_s, heartbeat.sequence) == (1.5, 4)
+    leaving = upstreams.parse_heartbeat(
+        json.dumps(BEAT | {'state': 'draining'}).encode()
+    )
     assert leaving.announcement.state == interfaces.DRAINING
 
 
 @pytest.mark.parametrize('name', ['service', 'address', 'slots', 'state'])
 def test_heartbeat_without_a_field_is_refused(name):
-    beat = {key: value for key, value in BEAT.items() if key != name}
+    heartbeat = {key: value for key, value in BEAT.items() if key != name}
     with pytest.raises(fields.Malformed, match='heartbeat.%s' % name):
-        upstreams.read(json.dumps(beat).encode())
+        upstreams.parse_heartbeat(json.dumps(heartbeat).encode())
 
 
 @hypothesis.given(JSON)
 def test_any_heartbeat_is_read_or_refused(document):
     try:
-        upstreams.read(json.dumps(document).encode())
+        upstreams.parse_heartbeat(json.dumps(document).encode())
     except fields.Malformed as error:
         assert str(error)
 
@@ -311,7 +317,7 @@
     'text, ms', [('1500ms', 1500), ('2.5s', 2500), ('0ms', 0), ('0.5ms', 0)]
 )
 def test_times(text, ms):
-    assert fields.time_ms({'t': text}, 't', 'x') == ms
+    assert fields.duration_ms({'t': text}, 't', 'x') == ms
 
 
 @pytest.mark.parametrize(
@@ -319,4 +325,4 @@
 )
 def test_times_that_are_none(text):
     with pytest.raises(fields.Malformed):
-        fields.time_ms({'t': text}, 't', 'x')
+        fields.duration_ms({'t': text}, 't', 'x')
--- a/test/test_platform_heartbeats.py
+++ b/test/test_platform_heartbeats.py
@@ -38,11 +38,13 @@
 
     async def put(self, data: bytes, name: str = 'i-1') -> tuple[int, str]:
         """Send a heartbeat; return status and sentence."""
-        return await _told(await self.client.put(PATH % name, data=data))
+        return await _response(await self.client.put(PATH % name, data=data))
 
     async def delete(self, data: bytes = b'', name: str = 'i-1'):
         """Leave; return status and sentence."""
-        return await _told(await self.client.delete(PATH % name, data=data))
+        return await _response(
+            await self.client.delete(PATH % name, data=data)
+        )
 
     def listed(self):
         """Return what the host announces."""
@@ -52,7 +54,7 @@
         ]
 
 
-async def _told(answer) -> tuple[int, str]:
+async def _response(answer) -> tuple[int, str]:
     body = await answer.json()
     return answer.status, body.get('message', '')
 
@@ -63,7 +65,7 @@
     async def _run():
         registry = registries.Registry(6.0, lambda urgent: None, '10.0.0.1:1')
         app = web.Application()
-        served = upstreams.Upstreams(registry, SERVICES.__contains__)
+        served = upstreams.UpstreamHandlers(registry, SERVICES.__contains__)
         app.add_routes(served.routes())
         server = test_utils.TestServer(app)
         async with test_utils.TestClient(server) as client:
@@ -76,7 +78,7 @@
 
 
 def test_time_of_the_start_becomes_the_incarnation():
-    beat = upstreams.read(encoded())
+    beat = upstreams.parse_heartbeat(encoded())
     assert beat.announcement.incarnation == BORN
     assert beat.announcement.state == interfaces.UP
 
@@ -320,7 +322,9 @@
         named = set(SERVICES)
         registry = registries.Registry(6.0, lambda urgent: None, '10.0.0.1:1')
         app = web.Application()
-        served = upstreams.Upstreams(registry, lambda name: name in named)
+        served = upstreams.UpstreamHandlers(
+            registry, lambda name: name in named
+        )
         app.add_routes(served.routes())
         async with test_utils.TestClient(test_utils.TestServer(app)) as client:
             host = Host(client, registry)
@@ -373,11 +377,11 @@
     data = json.dumps(kept).encode()
     for text in (data, data[: len(data) // 2], data + b'}'):
         try:
-            found = upstreams.read(text)
+            found = upstreams.parse_heartbeat(text)
         except fields.Malformed as error:
             assert str(error)
             continue
-        assert type(found.number) is int
+        assert type(found.sequence) is int
         incarnation = found.announcement.incarnation
         assert 0 <= incarnation < 2**63
         assert bool(incarnation) == ('born' in kept)
@@ -390,8 +394,8 @@
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 @hypothesis.given(strategies.binary(max_size=64))
 def test_any_bytes_are_read_or_refused(data):
-    for read in (upstreams.read, upstreams.read_leave):
+    for parse in (upstreams.parse_heartbeat, upstreams.parse_leave):
         try:
-            read(data)
+            parse(data)
         except fields.Malformed as error:
             assert str(error)
--- a/test/test_platform_operators.py
+++ b/test/test_platform_operators.py
@@ -18,7 +18,7 @@
 from adapter import upstreams
 from carawaystair.membership import registry as registries
 
-TERMS = configuration.Terms({'r': ('a', 'b')}, 70, 20)
+CONSTANTS = configuration.ManifestConstants({'r': ('a', 'b')}, 70, 20)
 PATH = operators.PATH
 
 
@@ -29,7 +29,7 @@
     timeline = timelines.Timeline('c')
     group = test_admin.group_of_one(transport, timeline, folder)
     await group.start()
-    served = operators.Operators(group, TERMS)
+    served = operators.OperatorHandlers(group, CONSTANTS)
     local = localapi.LocalApi(
         '127.0.0.1:1', served.routes(), manifests.MAX_BYTES
     )
@@ -43,7 +43,7 @@
         await group.stop()
 
 
-def played(folder, scenario):
+def run_scenario(folder, scenario):
     """Run a scenario before a control host."""
 
     async def _run():
@@ -71,7 +71,7 @@
         back = await (await client.get(PATH)).json()
         return before, first, again, back
 
-    before, first, again, back = played(tmp_path, scenario)
+    before, first, again, back = run_scenario(tmp_path, scenario)
     assert (before, first, again) == (503, 200, 200)
     assert back['version'] == 2
     assert len(back['resources']) == len(sent['resources'])
@@ -98,7 +98,7 @@
         again = [await put(client, change) for change in changes]
         return found, again
 
-    found, again = played(tmp_path, scenario)
+    found, again = run_scenario(tmp_path, scenario)
     assert sorted(found) == [200, 412]
     assert again == found
 
@@ -119,7 +119,7 @@
             await put(client, change | {'version': 6}, 'PATCH'),
         )
 
-    assert played(tmp_path, scenario) == (200, 200, 200, 412)
+    assert run_scenario(tmp_path, scenario) == (200, 200, 200, 412)
 
 
 def test_invalid_orders_change_nothing(tmp_path):
@@ -142,7 +142,7 @@
         back = await (await client.get(PATH)).json()
         return statuses, cut.status, back['version']
 
-    statuses, cut, version = played(tmp_path, scenario)
+    statuses, cut, version = run_scenario(tmp_path, scenario)
     assert all(400 <= status < 500 for status in [*statuses, cut])
     assert version == 2
 
@@ -155,7 +155,7 @@
         change = platform_setup.configuration(version=3, base=2)
         return read, await put(client, change)
 
-    assert played(tmp_path, scenario) == (503, 503)
+    assert run_scenario(tmp_path, scenario) == (503, 503)
 
 
 def test_large_configurations_are_taken(tmp_path):
@@ -173,7 +173,7 @@
     async def scenario(_group, client):
         return await put(client, sent)
 
-    assert played(tmp_path, scenario) == 200
+    assert run_scenario(tmp_path, scenario) == 200
 
 
 # The upstream beside a node
@@ -192,7 +192,8 @@
     published = []
     registry = registries.Registry(6.0, published.append, '10.0.0.1:1')
     local = localapi.LocalApi(
-        '127.0.0.1:1', upstreams.Upstreams(registry, 's'.__eq__).routes()
+        '127.0.0.1:1',
+        upstreams.UpstreamHandlers(registry, 's'.__eq__).routes(),
     )
 
     async def scenario():
@@ -235,12 +236,12 @@
 
     async def scenario():
         for name in ('i-1', 'i-2'):
-            said = registries.Announcement('s', '10.0.0.9:80', 4)
-            registry.announce(name, said, 1, 5)
+            announcement = registries.Announcement('s', '10.0.0.9:80', 4)
+            registry.announce(name, announcement, 1, 5)
         first = [row.id for row in registry.rows()]
         # A heartbeat of the first that was held up is no new sign of life.
-        said = registries.Announcement('s', '10.0.0.9:80', 4)
-        late = registry.announce('i-1', said, 1, 4)
+        announcement = registries.Announcement('s', '10.0.0.9:80', 4)
+        late = registry.announce('i-1', announcement, 1, 4)
         return first, late.is_error(), [row.id for row in registry.rows()]
 
     assert asyncio.run(scenario()) == (['i-2'], True, ['i-2'])
--- a/test/test_platform_stop.py
+++ b/test/test_platform_stop.py
@@ -9,10 +9,10 @@
 from test import platform_setup  # makes the next import possible
 
 from adapter import main
-from adapter import place as places
+from adapter import platform_settings
 
 IP = '127.88.41.1'
-BEAT = {
+HEARTBEAT = {
     'service': 'wuno96b',
     'address': IP + ':8628',
     'zone': 'a',
@@ -22,11 +22,11 @@
     'cold_remaining': '0ms',
     'born': 1764720000000,
 }
-PATIENCE_S = 10.0
+TEST_TIMEOUT_S = 10.0
 POLL_S = 0.05
 
 
-def made():
+def node_process():
     """Return a node on loopback, with what the platform calls there."""
     document = platform_setup.settings(
         self__ip=IP,
@@ -38,17 +38,17 @@
             'control': IP + ':8620',
         },
     )
-    place = places.read(document)
-    settings = places.fleet_settings(place)
+    deployment = platform_settings.parse(document)
+    settings = platform_settings.fleet_settings(deployment)
     process = kernels.Kernel(settings, plugins.load(commands=False))
-    main.extend(place, process)
+    main.add_listeners(deployment, process)
     return process
 
 
-async def beat(session, number, **changes):
+async def send_heartbeat(session, number, **changes):
     """Send a heartbeat; return its status, or 0 where nobody listens."""
     url = 'http://%s:8620/carawaystair/instances/i-1' % IP
-    body = {**BEAT, 'seq': number, **changes}
+    body = {**HEARTBEAT, 'seq': number, **changes}
     try:
         async with session.put(url, json=body) as answer:
             return answer.status
@@ -56,7 +56,7 @@
         return 0
 
 
-async def ready(session):
+async def ready_status(session):
     """Ask whether the node is ready; 0 where nobody listens."""
     url = 'http://%s:8625%s' % (IP, main.READY_PATH)
     try:
@@ -77,22 +77,25 @@
     """
 
     async def _run():
-        process = made()
+        process = node_process()
         await process.start()
         node = process.roles[0]
         async with aiohttp.ClientSession() as session:
-            before = await beat(session, 1)
+            before = await send_heartbeat(session, 1)
             stopping = asyncio.ensure_future(process.stop())
             while not node.gateway.stopping:
                 await asyncio.sleep(POLL_S)
-            during = [await beat(session, 2), await ready(session)]
-            during.append(await beat(session, 3, state='draining'))
+            during = [
+                await send_heartbeat(session, 2),
+                await ready_status(session),
+            ]
+            during.append(await send_heartbeat(session, 3, state='draining'))
             gateway_waits = not stopping.done()
             await stopping
         return before, during, gateway_waits
 
     async def _bounded():
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await _run()
 
     before, during, gateway_waits = asyncio.run(_bounded())
