--- a/test/platform_setup.py
+++ b/test/platform_setup.py
@@ -1,4 +1,4 @@
-"""Makes the adapter's modules importable, and documents of the platform."""
+"""Makes the adapter's modules importable; builds documents of the platform."""
 
 import pathlib
 import sys
@@ -7,7 +7,7 @@
 if str(FOLDER) not in sys.path:
     sys.path.append(str(FOLDER))
 
-# As the platform shows it, of an upstream that tells when it started.
+# The platform's form, from an upstream that sends its start time.
 HEARTBEAT = {
     'service': 'huvo11a',
     'address': '10.128.0.9:8080',
@@ -22,7 +22,11 @@
 
 
 def settings(**changes) -> dict:
-    """Return a settings document of a host with an upstream."""
+    """Return a settings document of a host with an upstream.
+
+    :param changes: values by path, with steps joined by ``__``; None removes
+        the field.
+    """
     document = {
         'self': {
             'node_name': 'sidecar-a-1',
@@ -75,12 +79,12 @@
 
 
 def resource(kind: str, name: str, **spec) -> dict:
-    """Return one item of a configuration."""
+    """Return one resource of a configuration."""
     return {'resource_type': kind, 'metadata': {'name': name}, 'spec': spec}
 
 
 def route(name: str = 'r-1', **changes) -> dict:
-    """Return a route."""
+    """Return a route resource; None among the changes removes a field."""
     spec = {
         'host': 'jepu9.example',
         'path_prefix': '/lepu270/',
@@ -97,7 +101,10 @@
 
 
 def configuration(*routes: dict, version: int = 7, base: int = 0) -> dict:
-    """Return a whole configuration."""
+    """Return a complete configuration.
+
+    :param base: the version that it builds on.
+    """
     return {
         'version': version,
         'base_version': base,
--- a/test/test_platform_border.py
+++ b/test/test_platform_border.py
@@ -1,4 +1,4 @@
-"""What the platform calls stays in one folder, and that one stays small."""
+"""Only the adapter uses the platform's names, and it stays small."""
 
 import pathlib
 import platform
@@ -28,7 +28,7 @@
 MAX_LINES = 1500
 
 
-def test_standard_module_is_still_found():
+def test_folder_does_not_hide_the_standard_module():
     assert platform.python_implementation()
     script = 'import platform; print(platform.python_version())'
     found = subprocess.run(
@@ -40,7 +40,7 @@
     assert found.stdout.decode().startswith('3.')
 
 
-def test_nobody_else_names_what_the_platform_names():
+def test_names_of_the_platform_occur_only_in_the_adapter():
     found = [
         '%s:%d: %s' % (path, number, line.strip())
         for folder in OUTSIDE
@@ -51,7 +51,7 @@
     assert found == []
 
 
-def test_nobody_else_imports_the_adapter():
+def test_no_other_code_imports_the_adapter():
     importing = re.compile(r'^\s*(from|import) adapter\b')
     found = [
         str(path)
@@ -63,7 +63,7 @@
     assert found == []
 
 
-def test_adapter_is_small():
+def test_adapter_is_below_the_limit_of_lines():
     lines = sum(
         len(path.read_text().splitlines())
         for path in platform_setup.FOLDER.rglob('*.py')
@@ -71,11 +71,11 @@
     assert lines < MAX_LINES
 
 
-def test_headers_of_the_platform_are_those_of_the_settings():
+def test_adapter_maps_all_headers_of_the_settings():
     assert set(platform_settings.HEADERS) == set(settings.Headers._fields)
 
 
-def test_deploy_file_names_the_port_of_the_metrics_and_pinned_libraries():
+def test_deploy_file_has_the_metrics_port_and_pins_match_dependencies():
     deploy = tomllib.loads((ROOT / 'deploy' / 'system.toml').read_text())
     ports = {role['metrics'] for role in deploy['roles'].values()}
     assert ports == {'%d/metrics' % main.METRICS_PORT}
@@ -84,7 +84,7 @@
     assert sorted(pinned) == sorted(project['project']['dependencies'])
 
 
-def test_process_with_a_wrong_settings_file_ends_with_one_line(tmp_path):
+def test_process_with_invalid_settings_exits_with_one_line(tmp_path):
     path = tmp_path / 'local.toml'
     path.write_text('[self]\nip = "10.0.0.1"\n')
     found = subprocess.run(
--- a/test/test_platform_documents.py
+++ b/test/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform: read right, or refused with a sentence."""
+"""Tests that documents of the platform are parsed or refused with a reason."""
 
 import json
 
@@ -34,16 +34,16 @@
 
 
 def parse(document, complete=True):
-    """Read a configuration that is given as a document."""
+    """Parse a configuration given as a document."""
     return configuration.parse(
         json.dumps(document).encode(), complete, CONSTANTS
     )
 
 
 def manifest_of(document):
-    """Return the checked manifest of a whole configuration."""
-    made = configuration.apply(parse(document), None, CONSTANTS)
-    result = manifests.read(configuration.encode_manifest(made))
+    """Return the validated manifest of a complete configuration."""
+    manifest = configuration.apply(parse(document), None, CONSTANTS)
+    result = manifests.read(configuration.encode_manifest(manifest))
     assert result.is_ok(), result.error
     return result.ok
 
@@ -52,17 +52,17 @@
 
 
 def test_settings_of_a_host_with_an_upstream():
-    made = platform_settings.fleet_settings(
+    result = platform_settings.fleet_settings(
         platform_settings.parse(platform_setup.settings())
     )
-    assert made.host == '10.1.0.41'
-    assert made.roles == ('node',)
-    assert made.node.listen == '10.1.0.41:8629'
-    assert made.node.gateway == '10.1.0.41:8624'
-    assert made.node.service == 'wuno96b'
-    assert made.seeds[0] == '10.1.0.48:7600'
-    assert made.node.drain_s < 6.0
-    assert made.node.retry_slack == 58
+    assert result.host == '10.1.0.41'
+    assert result.roles == ('node',)
+    assert result.node.listen == '10.1.0.41:8629'
+    assert result.node.gateway == '10.1.0.41:8624'
+    assert result.node.service == 'wuno96b'
+    assert result.seeds[0] == '10.1.0.48:7600'
+    assert result.node.drain_s < 6.0
+    assert result.node.retry_slack == 58
 
 
 @pytest.mark.parametrize(
@@ -74,18 +74,20 @@
         ({'link_mbps': 1000}, 1000.0),
     ],
 )
-def test_settings_tell_the_rate_of_the_link(limits, mbps):
+def test_settings_contain_the_link_rate(limits, mbps):
     document = platform_setup.settings()
     if limits is not None:
         document['self']['limits'] = limits
-    made = platform_settings.fleet_settings(platform_settings.parse(document))
-    assert made.node.link_mbps == mbps
+    result = platform_settings.fleet_settings(
+        platform_settings.parse(document)
+    )
+    assert result.node.link_mbps == mbps
 
 
 @pytest.mark.parametrize(
     'limits', [[], {'link_mbps': 'fast'}, {'link_mbps': -1.0}], ids=str
 )
-def test_rate_of_the_link_that_is_none_is_refused(limits):
+def test_invalid_link_rate_is_refused(limits):
     document = platform_setup.settings()
     document['self']['limits'] = limits
     with pytest.raises(fields.Malformed, match='limits|link_mbps'):
@@ -101,12 +103,14 @@
         self__service=None,
         network__listen={'control': '10.1.0.48:8620'},
     )
-    made = platform_settings.fleet_settings(platform_settings.parse(document))
-    assert made.roles == ('control',)
-    assert made.data_folder == '/data'
-    assert not made.control.founds
-    assert made.control.grow_to == 5
-    assert [v.peer for v in made.control.voters] == list(made.seeds)
+    result = platform_settings.fleet_settings(
+        platform_settings.parse(document)
+    )
+    assert result.roles == ('control',)
+    assert result.data_folder == '/data'
+    assert not result.control.founds
+    assert result.control.grow_to == 5
+    assert [v.peer for v in result.control.voters] == list(result.seeds)
 
 
 @pytest.mark.parametrize(
@@ -123,20 +127,20 @@
         ('terms', None, 'settings.terms is missing'),
     ],
 )
-def test_mistake_in_settings_is_named(path, value, message):
+def test_error_names_the_invalid_setting(path, value, message):
     document = platform_setup.settings(**{path: value})
     with pytest.raises(fields.Malformed, match=message):
         platform_settings.parse(document)
 
 
-def test_unknown_settings_are_passed_over():
+def test_unknown_settings_are_ignored():
     document = platform_setup.settings(self__colour='blue')
     document['weather'] = {'rain': True}
     assert platform_settings.parse(document).ip == '10.1.0.41'
 
 
 @hypothesis.given(JSON)
-def test_any_settings_are_read_or_refused(document):
+def test_arbitrary_settings_are_parsed_or_refused(document):
     try:
         platform_settings.parse(document if isinstance(document, dict) else {})
     except fields.Malformed as error:
@@ -146,7 +150,7 @@
 # Configurations
 
 
-def test_configuration_comes_back_as_it_was_sent():
+def test_configuration_survives_a_round_trip():
     split = [
         {'service': 'one', 'weight': 90},
         {'service': 'two', 'weight': 10},
@@ -178,7 +182,7 @@
     assert sorted(_plain(returned)) == sorted(_plain(sent))
 
 
-def test_kinds_of_routes_say_what_may_be_repeated():
+def test_route_type_sets_idempotence_and_kind():
     sent = platform_setup.configuration(
         platform_setup.route('a', path_prefix='/a/'),
         platform_setup.route('b', path_prefix='/b/', route_type='unsafe'),
@@ -197,7 +201,7 @@
     assert found['a'].goal_ms == 1500
 
 
-def test_change_of_named_items():
+def test_partial_change_upserts_and_removes_routes():
     now = manifest_of(
         platform_setup.configuration(
             platform_setup.route('a', path_prefix='/a/'),
@@ -215,13 +219,13 @@
         },
         'remove': {'routes': ['b']},
     }
-    made = configuration.apply(parse(change, complete=False), now, CONSTANTS)
-    assert {r.name: r.service for r in made.routes} == {
+    result = configuration.apply(parse(change, complete=False), now, CONSTANTS)
+    assert {r.name: r.service for r in result.routes} == {
         'a': 'two',
         'c': 'one',
     }
-    assert made.limits == now.limits
-    assert made.revision == 9
+    assert result.limits == now.limits
+    assert result.revision == 9
 
 
 @pytest.mark.parametrize(
@@ -250,14 +254,14 @@
 def test_invalid_routes_are_refused(changes):
     sent = platform_setup.configuration(platform_setup.route(**changes))
     try:
-        made = configuration.apply(parse(sent), None, CONSTANTS)
+        result = configuration.apply(parse(sent), None, CONSTANTS)
     except fields.Malformed as error:
         assert str(error).endswith('.')
         return
-    assert manifests.read(configuration.encode_manifest(made)).is_error()
+    assert manifests.read(configuration.encode_manifest(result)).is_error()
 
 
-def test_configuration_that_is_cut_short_is_refused():
+def test_truncated_configuration_is_refused():
     data = json.dumps(platform_setup.configuration()).encode()
     for end in range(0, len(data) - 1, 37):
         with pytest.raises(fields.Malformed):
@@ -265,7 +269,7 @@
 
 
 @hypothesis.given(JSON, strategies.booleans())
-def test_any_configuration_is_read_or_refused(document, complete):
+def test_arbitrary_configuration_is_parsed_or_refused(document, complete):
     try:
         parse(document, complete)
     except fields.Malformed as error:
@@ -273,18 +277,18 @@
 
 
 @hypothesis.given(strategies.binary(max_size=64))
-def test_any_bytes_are_refused_as_a_configuration(data):
+def test_arbitrary_bytes_are_refused_as_a_configuration(data):
     with pytest.raises(fields.Malformed):
         configuration.parse(data, True, CONSTANTS)
 
 
 # Heartbeats
 
-BEAT = platform_setup.HEARTBEAT
+HEARTBEAT = platform_setup.HEARTBEAT
 
 
 def test_heartbeat_becomes_an_announcement():
-    heartbeat = upstreams.parse_heartbeat(json.dumps(BEAT).encode())
+    heartbeat = upstreams.parse_heartbeat(json.dumps(HEARTBEAT).encode())
     announcement = heartbeat.announcement
     assert (announcement.service, announcement.slots, announcement.state) == (
         'huvo11a',
@@ -293,20 +297,20 @@
     )
     assert (announcement.warmup_s, heartbeat.sequence) == (1.5, 4)
     leaving = upstreams.parse_heartbeat(
-        json.dumps(BEAT | {'state': 'draining'}).encode()
+        json.dumps(HEARTBEAT | {'state': 'draining'}).encode()
     )
     assert leaving.announcement.state == interfaces.DRAINING
 
 
 @pytest.mark.parametrize('name', ['service', 'address', 'slots', 'state'])
 def test_heartbeat_without_a_field_is_refused(name):
-    heartbeat = {key: value for key, value in BEAT.items() if key != name}
+    heartbeat = {key: value for key, value in HEARTBEAT.items() if key != name}
     with pytest.raises(fields.Malformed, match='heartbeat.%s' % name):
         upstreams.parse_heartbeat(json.dumps(heartbeat).encode())
 
 
 @hypothesis.given(JSON)
-def test_any_heartbeat_is_read_or_refused(document):
+def test_arbitrary_heartbeat_is_parsed_or_refused(document):
     try:
         upstreams.parse_heartbeat(json.dumps(document).encode())
     except fields.Malformed as error:
@@ -316,13 +320,13 @@
 @pytest.mark.parametrize(
     'text, ms', [('1500ms', 1500), ('2.5s', 2500), ('0ms', 0), ('0.5ms', 0)]
 )
-def test_times(text, ms):
+def test_durations_are_parsed(text, ms):
     assert fields.duration_ms({'t': text}, 't', 'x') == ms
 
 
 @pytest.mark.parametrize(
     'text', ['', '5', '5 s', '-1s', '1h', 's', 5, None, '1e9s', '90000s']
 )
-def test_times_that_are_none(text):
+def test_invalid_durations_are_refused(text):
     with pytest.raises(fields.Malformed):
         fields.duration_ms({'t': text}, 't', 'x')
--- a/test/test_platform_heartbeats.py
+++ b/test/test_platform_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of upstreams of the platform, sound ones and others."""
+"""Tests of valid and invalid heartbeats and leaves of upstreams."""
 
 import asyncio
 import json
@@ -18,36 +18,38 @@
 
 PATH = '/carawaystair/instances/%s'
 SERVICES = ('huvo11a', 'kafi81c')
-BEAT = platform_setup.HEARTBEAT
-BORN = BEAT['born']
+HEARTBEAT = platform_setup.HEARTBEAT
+BORN = HEARTBEAT['born']
 
 
 def encoded(**changes) -> bytes:
-    """Return a heartbeat with fields changed; None takes one away."""
-    beat = {**BEAT, **changes}
-    kept = {key: value for key, value in beat.items() if value is not None}
+    """Return a heartbeat with fields changed; None removes a field."""
+    heartbeat = {**HEARTBEAT, **changes}
+    kept = {
+        key: value for key, value in heartbeat.items() if value is not None
+    }
     return json.dumps(kept).encode()
 
 
 class Host:
-    """The calls of upstreams at one host."""
+    """A host to which tests send the calls of upstreams."""
 
     def __init__(self, client, registry) -> None:
         self.client = client
         self.registry = registry
 
     async def put(self, data: bytes, name: str = 'i-1') -> tuple[int, str]:
-        """Send a heartbeat; return status and sentence."""
+        """Send a heartbeat; return status and message."""
         return await _response(await self.client.put(PATH % name, data=data))
 
     async def delete(self, data: bytes = b'', name: str = 'i-1'):
-        """Leave; return status and sentence."""
+        """Send a leave; return status and message."""
         return await _response(
             await self.client.delete(PATH % name, data=data)
         )
 
-    def listed(self):
-        """Return what the host announces."""
+    def announced(self):
+        """Return the upstreams that the host announces."""
         return [
             (row.id, row.incarnation, row.slots, row.warmup, row.state)
             for row in self.registry.rows()
@@ -60,13 +62,13 @@
 
 
 def run(steps) -> None:
-    """Run the steps of a test with one host."""
+    """Run the steps of a test against one host."""
 
     async def _run():
         registry = registries.Registry(6.0, lambda urgent: None, '10.0.0.1:1')
         app = web.Application()
-        served = upstreams.UpstreamHandlers(registry, SERVICES.__contains__)
-        app.add_routes(served.routes())
+        handlers = upstreams.UpstreamHandlers(registry, SERVICES.__contains__)
+        app.add_routes(handlers.routes())
         server = test_utils.TestServer(app)
         async with test_utils.TestClient(server) as client:
             await steps(Host(client, registry))
@@ -74,20 +76,21 @@
     asyncio.run(_run())
 
 
-# Lifetimes
+# Incarnations
 
 
-def test_time_of_the_start_becomes_the_incarnation():
-    beat = upstreams.parse_heartbeat(encoded())
-    assert beat.announcement.incarnation == BORN
-    assert beat.announcement.state == interfaces.UP
+def test_start_time_becomes_the_incarnation():
+    heartbeat = upstreams.parse_heartbeat(encoded())
+    assert heartbeat.announcement.incarnation == BORN
+    assert heartbeat.announcement.state == interfaces.UP
 
 
-def test_new_life_begins_clean_and_cold():
-    """Symptom: an upstream that started again is refused, or stands with the
-    slots and the warm-up of its former life.
-    Sequence: heartbeats, a crash, a start under the same id.
-    Cause: numbers and warm-up were kept with the id.
+def test_restarted_upstream_does_not_keep_its_old_state():
+    """Guards against a restarted upstream being refused, or announced with
+    the slots and the warm-up of its former incarnation.
+
+    An upstream sends heartbeats, crashes and starts again under the same id.
+    It failed when sequence numbers and warm-up were kept by id.
     """
 
     async def _steps(host):
@@ -96,74 +99,80 @@
             '',
         )
         new = BORN + 5000
-        sound = encoded(born=new, seq=1, slots=2, cold_remaining='3s')
-        assert (await host.put(sound))[0] == 200
-        assert host.listed() == [('i-1', new, 2, 3000, 0)]
-        # What is left of the warm-up counts down; the fleet counts by itself.
+        heartbeat = encoded(born=new, seq=1, slots=2, cold_remaining='3s')
+        assert (await host.put(heartbeat))[0] == 200
+        assert host.announced() == [('i-1', new, 2, 3000, 0)]
+        # Heartbeats send the rest of the warm-up; the fleet counts it down by
+        # itself from the first one.
         later = encoded(born=new, seq=2, slots=2, cold_remaining='1s')
         assert (await host.put(later))[0] == 200
-        assert host.listed() == [('i-1', new, 2, 3000, 0)]
+        assert host.announced() == [('i-1', new, 2, 3000, 0)]
 
     run(_steps)
 
 
-def test_late_calls_of_a_former_life_are_refused():
-    """Symptom: an upstream that has just started drains or is gone.
-    Sequence: a call of its former life arrives after it had registered.
-    Cause: calls were told apart by id and number alone.
+def test_late_calls_of_a_former_incarnation_are_refused():
+    """Guards against draining or removing an upstream that has just started.
+
+    A call of its former incarnation arrives after the first heartbeat of the
+    new one.  It was taken for a new call when calls were distinguished by id
+    and sequence number only.
     """
 
     async def _steps(host):
         await host.put(encoded(seq=90))
         await host.put(encoded(born=BORN + 5000, seq=1))
-        before = host.listed()
+        before = host.announced()
         late = encoded(seq=91, state='draining')
         assert (await host.put(late))[0] == 409
         leave = json.dumps({'born': BORN, 'seq': 92}).encode()
-        status, sentence = await host.delete(leave)
-        assert (status, bool(sentence)) == (409, True)
-        assert host.listed() == before
+        status, message = await host.delete(leave)
+        assert (status, bool(message)) == (409, True)
+        assert host.announced() == before
         leave = json.dumps({'born': BORN + 5000}).encode()
         assert (await host.delete(leave))[0] == 200
-        assert host.listed() == []
+        assert host.announced() == []
 
     run(_steps)
 
 
-def test_leave_without_a_body_is_that_of_the_life_that_stands():
+def test_leave_without_a_body_ends_the_current_incarnation():
     async def _steps(host):
         await host.put(encoded())
         assert (await host.delete())[0] == 200
-        assert host.listed() == []
+        assert host.announced() == []
         assert (await host.delete(name='unknown'))[0] == 200
 
     run(_steps)
 
 
-def test_upstreams_that_never_tell_their_start_are_taken():
-    """No upstream of a deployment got any work: none of its heartbeats told
-    when its upstream had started, as the deployment's own examples show them,
-    and each was answered 400 for that. 863 of 863 calls failed in one run.
+def test_upstreams_without_start_times_are_accepted():
+    """Guards against a deployment whose upstreams get no requests at all.
+
+    Its heartbeats had no ``born``, as in the deployment's own examples.  Each
+    got status 400, and 863 of 863 calls failed in one run.
     """
 
     async def _steps(host):
         undated = encoded(born=None)
         assert (await host.put(undated))[0] == 200
-        ((name, incarnation, *_rest),) = host.listed()
+        ((name, incarnation, *_rest),) = host.announced()
         assert name == 'i-1'
         assert 0 < incarnation < BORN
         assert (await host.put(encoded(born=None, seq=3)))[0] == 409
         later = encoded(born=None, seq=5, state='draining')
         assert (await host.put(later))[0] == 200
-        assert host.listed()[0][-1] == 1
+        assert host.announced()[0][-1] == 1
 
     run(_steps)
 
 
-def test_successor_without_a_start_takes_the_address():
-    """Where upstreams don't tell their start, the order of their first words
-    is that of their lives: a late heartbeat of the predecessor at an address
-    must not bring it back.
+def test_successor_without_a_start_time_takes_the_address():
+    """Guards against a late heartbeat that restores the predecessor of an
+    upstream at its address.
+
+    Where heartbeats have no ``born``, the order of the first heartbeats is
+    the order of the incarnations.
     """
 
     async def _steps(host):
@@ -171,29 +180,31 @@
         await asyncio.sleep(1.1)
         await host.put(encoded(born=None, seq=1), 'i-2')
         assert (await host.put(encoded(born=None, seq=5), 'i-1'))[0] == 409
-        assert [row[0] for row in host.listed()] == ['i-2']
+        assert [row[0] for row in host.announced()] == ['i-2']
 
     run(_steps)
 
 
-def test_heartbeat_without_a_start_ends_with_the_first_that_has_one():
-    """Another writer's heartbeat comes before the first one of the upstream:
-    at that time nothing tells that upstreams here tell their start. It must
-    neither stand for a lease nor keep the upstream out.
+def test_first_start_time_ends_leases_without_one():
+    """Guards against a heartbeat of another sender that keeps a lease, or
+    that keeps the upstream out.
+
+    It has no ``born`` and arrives before the first heartbeat of the upstream,
+    when the host can't know yet that upstreams of this deployment send it.
     """
 
     async def _steps(host):
-        stranger = encoded(born=None, seq=70, address='10.128.0.9:9999')
-        await host.put(stranger, 'i-9')
-        await host.put(stranger, 'i-1')
+        foreign = encoded(born=None, seq=70, address='10.128.0.9:9999')
+        await host.put(foreign, 'i-9')
+        await host.put(foreign, 'i-1')
         assert (await host.put(encoded(seq=1)))[0] == 200
-        assert [row[:2] for row in host.listed()] == [('i-1', BORN)]
-        assert (await host.put(stranger, 'i-9'))[0] == 400
+        assert [row[:2] for row in host.announced()] == [('i-1', BORN)]
+        assert (await host.put(foreign, 'i-9'))[0] == 400
 
     run(_steps)
 
 
-# Other writers
+# Other senders
 
 DEEP = b'{"service":' + b'[' * 5000 + b']' * 5000 + b'}'
 MALFORMED = {
@@ -246,21 +257,22 @@
 
 @pytest.mark.parametrize('kind', MALFORMED)
 def test_malformed_heartbeat_changes_nothing(kind):
-    """Symptom: an upstream takes no work, or a node fails, after a call that
-    no upstream made.
-    Sequence: sound heartbeats, then one of another writer, for the id that
-    stands and for another one.
-    Cause: what can't be read was taken for a default.
+    """Guards against an upstream that gets no requests, or a node that fails,
+    after a call that no upstream sent.
+
+    After a valid heartbeat, another sender sends a malformed one, for the
+    announced id and for another one.  It failed when fields that could not be
+    parsed got a default value.
     """
 
     async def _steps(host):
         await host.put(encoded())
-        before = host.listed()
+        before = host.announced()
         for name in ('i-1', 'i-2'):
-            status, sentence = await host.put(MALFORMED[kind], name)
-            assert 400 <= status < 500, sentence
-            assert sentence
-        assert host.listed() == before
+            status, message = await host.put(MALFORMED[kind], name)
+            assert 400 <= status < 500, message
+            assert message
+        assert host.announced() == before
         assert (await host.put(encoded(seq=5)))[0] == 200
 
     run(_steps)
@@ -283,24 +295,24 @@
     ],
 )
 def test_malformed_leave_changes_nothing(data):
-    """Symptom: a sound upstream gets no more work.
-    Sequence: another writer calls for its leave with a body that says
-    nothing of a lifetime.
-    Cause: the body was not read.
+    """Guards against a healthy upstream that gets no more requests.
+
+    Another sender sends a leave for it, with a body that names no valid
+    incarnation.  It was accepted when the body was not read.
     """
 
     async def _steps(host):
         await host.put(encoded())
-        before = host.listed()
-        status, sentence = await host.delete(data)
+        before = host.announced()
+        status, message = await host.delete(data)
         assert 400 <= status < 500
-        assert sentence
-        assert host.listed() == before
+        assert message
+        assert host.announced() == before
 
     run(_steps)
 
 
-def test_id_that_can_not_be_written_is_refused():
+def test_id_that_can_not_be_encoded_is_not_announced():
     async def _steps(host):
         for name in ('%FF', 'x' * 200, '%ED%A0%80'):
             status, _sentence = await host.put(encoded(), name)
@@ -312,27 +324,28 @@
     run(_steps)
 
 
-def test_upstream_that_is_known_may_drain_whatever_the_configuration():
-    """Symptom: an upstream that leaves is not acknowledged.
-    Sequence: the configuration drops its service, then it drains.
-    Cause: the name of its service is no longer a known one.
+def test_announced_upstream_may_drain_without_its_service():
+    """Guards against an upstream that leaves without an acknowledgement.
+
+    The configuration removes its service, then it drains.  Its heartbeat was
+    refused when its service had to be a known one.
     """
 
     async def _run():
-        named = set(SERVICES)
+        services = set(SERVICES)
         registry = registries.Registry(6.0, lambda urgent: None, '10.0.0.1:1')
         app = web.Application()
-        served = upstreams.UpstreamHandlers(
-            registry, lambda name: name in named
+        handlers = upstreams.UpstreamHandlers(
+            registry, lambda name: name in services
         )
-        app.add_routes(served.routes())
+        app.add_routes(handlers.routes())
         async with test_utils.TestClient(test_utils.TestServer(app)) as client:
             host = Host(client, registry)
             await host.put(encoded())
-            named.clear()
+            services.clear()
             drain = encoded(seq=5, state='draining')
             assert (await host.put(drain))[0] == 200
-            assert host.listed()[0][-1] == 1
+            assert host.announced()[0][-1] == 1
 
     asyncio.run(_run())
 
@@ -358,22 +371,24 @@
     max_leaves=6,
 )
 CHANGES = strategies.dictionaries(
-    strategies.sampled_from(sorted(BEAT)), VALUE, max_size=4
+    strategies.sampled_from(sorted(HEARTBEAT)), VALUE, max_size=4
 )
 
 
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 @hypothesis.given(
     CHANGES,
-    strategies.sets(strategies.sampled_from(sorted(BEAT)), max_size=2),
+    strategies.sets(strategies.sampled_from(sorted(HEARTBEAT)), max_size=2),
 )
-def test_heartbeat_is_read_to_a_sound_one_or_refused(changes, missing):
-    """Symptom: a process fails at what another writer sent.
-    Sequence: fields of any type and value, or none.
-    Cause: a value that was not thought of.
+def test_arbitrary_fields_are_parsed_to_valid_values_or_refused(
+    changes, missing
+):
+    """Guards against a process that fails on a body from another sender.
+
+    Fields are missing or have any type and value.
     """
-    beat = {**BEAT, **changes}
-    kept = {key: beat[key] for key in beat if key not in missing}
+    heartbeat = {**HEARTBEAT, **changes}
+    kept = {key: heartbeat[key] for key in heartbeat if key not in missing}
     data = json.dumps(kept).encode()
     for text in (data, data[: len(data) // 2], data + b'}'):
         try:
@@ -393,7 +408,7 @@
 
 @hypothesis.settings(max_examples=300, derandomize=True, deadline=None)
 @hypothesis.given(strategies.binary(max_size=64))
-def test_any_bytes_are_read_or_refused(data):
+def test_arbitrary_bytes_are_parsed_or_refused(data):
     for parse in (upstreams.parse_heartbeat, upstreams.parse_leave):
         try:
             parse(data)
--- a/test/test_platform_operators.py
+++ b/test/test_platform_operators.py
@@ -1,4 +1,4 @@
-"""Operators' configurations over HTTP, before a control group of one."""
+"""Tests of operators' configurations over HTTP, with a group of one voter."""
 
 import asyncio
 import contextlib
@@ -24,14 +24,14 @@
 
 @contextlib.asynccontextmanager
 async def running(folder):
-    """Run a control host with the platform's listener."""
+    """Run a control host with the listener for operators."""
     transport = fakes.Network().transport(test_admin.CONTROL)
     timeline = timelines.Timeline('c')
     group = test_admin.group_of_one(transport, timeline, folder)
     await group.start()
-    served = operators.OperatorHandlers(group, CONSTANTS)
+    handlers = operators.OperatorHandlers(group, CONSTANTS)
     local = localapi.LocalApi(
-        '127.0.0.1:1', served.routes(), manifests.MAX_BYTES
+        '127.0.0.1:1', handlers.routes(), manifests.MAX_BYTES
     )
     client = test_utils.TestClient(test_utils.TestServer(local.app))
     await client.start_server()
@@ -44,7 +44,7 @@
 
 
 def run_scenario(folder, scenario):
-    """Run a scenario before a control host."""
+    """Run a scenario against a control host; return its result."""
 
     async def _run():
         async with running(folder) as (group, client):
@@ -61,7 +61,7 @@
     return answer.status
 
 
-def test_configuration_is_taken_read_back_and_taken_again(tmp_path):
+def test_configuration_is_accepted_returned_and_accepted_again(tmp_path):
     sent = platform_setup.configuration(version=2)
 
     async def scenario(_group, client):
@@ -77,11 +77,12 @@
     assert len(back['resources']) == len(sent['resources'])
 
 
-def test_of_two_changes_on_the_same_version_one_is_refused(tmp_path):
-    """Symptom: two operators are both told that their change is in force.
-    Sequence: both build on the same version and send at the same time.
-    Cause: each is held against the version that was read, not against the
-    one in the log at its turn.
+def test_one_of_two_changes_on_the_same_version_is_refused(tmp_path):
+    """Guards against two operators who both get their change acknowledged.
+
+    Both build on the same version and send at the same time.  It failed when
+    a change was compared with the version read before, not with the version
+    in the log when the change is applied.
     """
 
     async def scenario(_group, client):
@@ -103,7 +104,7 @@
     assert again == found
 
 
-def test_accepted_order_is_acknowledged_again_after_others(tmp_path):
+def test_accepted_change_is_acknowledged_again_after_later_ones(tmp_path):
     async def scenario(_group, client):
         first = platform_setup.configuration(version=2)
         change = {
@@ -122,7 +123,7 @@
     assert run_scenario(tmp_path, scenario) == (200, 200, 200, 412)
 
 
-def test_invalid_orders_change_nothing(tmp_path):
+def test_invalid_configurations_change_nothing(tmp_path):
     good = platform_setup.configuration(version=2)
     bad = [
         platform_setup.configuration(version=2, base=2),
@@ -147,7 +148,7 @@
     assert version == 2
 
 
-def test_host_that_can_not_be_sure_says_so(tmp_path):
+def test_host_without_a_quorum_responds_unavailable(tmp_path):
     async def scenario(group, client):
         await put(client, platform_setup.configuration(version=2))
         group.lost = True
@@ -158,10 +159,11 @@
     assert run_scenario(tmp_path, scenario) == (503, 503)
 
 
-def test_large_configurations_are_taken(tmp_path):
-    """Symptom: a valid change is never acknowledged.
-    Sequence: it adds hundreds of routes; its body is over 64 KiB.
-    Cause: the listener's bound of bodies is that of small calls.
+def test_large_configurations_are_accepted(tmp_path):
+    """Guards against a valid change that is never acknowledged.
+
+    It adds hundreds of routes, and its body is larger than 64 KiB.  It failed
+    when the listener had the body limit of small calls.
     """
     routes = [
         platform_setup.route('r-%d' % n, path_prefix='/p%d/' % n)
@@ -176,9 +178,9 @@
     assert run_scenario(tmp_path, scenario) == 200
 
 
-# The upstream beside a node
+# Heartbeats
 
-BEAT = {
+HEARTBEAT = {
     'service': 's',
     'address': '10.0.0.9:80',
     'slots': 4,
@@ -188,7 +190,7 @@
 }
 
 
-def test_heartbeats_announce_drain_and_end_an_upstream():
+def test_heartbeats_and_leave_announce_drain_and_end_an_upstream():
     published = []
     registry = registries.Registry(6.0, published.append, '10.0.0.1:1')
     local = localapi.LocalApi(
@@ -200,20 +202,20 @@
         client = test_utils.TestClient(test_utils.TestServer(local.app))
         await client.start_server()
 
-        async def beat(name='i-1', **changes):
+        async def heartbeat(name='i-1', **changes):
             path = '/carawaystair/instances/%s' % name
-            answer = await client.put(path, json={**BEAT, **changes})
+            answer = await client.put(path, json={**HEARTBEAT, **changes})
             return answer.status
 
         try:
             found = [
-                await beat(seq=4),
-                await beat(seq=4),
-                await beat(seq=3),
-                await beat(seq=5, state='draining'),
-                await beat(seq=6),
-                await beat(seq=7, slots='many'),
-                await beat(seq=8, address='nowhere'),
+                await heartbeat(seq=4),
+                await heartbeat(seq=4),
+                await heartbeat(seq=3),
+                await heartbeat(seq=5, state='draining'),
+                await heartbeat(seq=6),
+                await heartbeat(seq=7, slots='many'),
+                await heartbeat(seq=8, address='nowhere'),
             ]
             gone = await client.delete('/carawaystair/instances/i-1')
             return found, gone.status
@@ -221,16 +223,18 @@
             await client.close()
 
     found, gone = asyncio.run(scenario())
-    # Late ones and a way back from draining are refused, a repetition not.
+    # Late heartbeats and a return from draining are refused; a repeated
+    # heartbeat is not.
     assert found == [200, 200, 409, 200, 409, 400, 400]
     assert gone == 200
     assert registry.rows() == ()
 
 
 def test_successor_at_an_address_ends_the_lease_of_a_crashed_upstream():
-    """Symptom: half of the requests meet an upstream that is gone.
-    Sequence: an upstream crashes; another one starts at its address.
-    Cause: nobody ends the lease of the first before it runs out.
+    """Guards against half of the requests being sent to a crashed upstream.
+
+    An upstream crashes and another one starts at its address.  It failed when
+    the lease of the first one stayed until it expired.
     """
     registry = registries.Registry(6.0, lambda urgent: None, '10.0.0.1:1')
 
@@ -239,7 +243,7 @@
             announcement = registries.Announcement('s', '10.0.0.9:80', 4)
             registry.announce(name, announcement, 1, 5)
         first = [row.id for row in registry.rows()]
-        # A heartbeat of the first that was held up is no new sign of life.
+        # A delayed heartbeat of the first one must not renew its lease.
         announcement = registries.Announcement('s', '10.0.0.9:80', 4)
         late = registry.announce('i-1', announcement, 1, 4)
         return first, late.is_error(), [row.id for row in registry.rows()]
--- a/test/test_platform_stop.py
+++ b/test/test_platform_stop.py
@@ -1,4 +1,4 @@
-"""What the platform finds at a host while its node stops."""
+"""Tests of the platform's listeners while a node stops."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 def node_process():
-    """Return a node on loopback, with what the platform calls there."""
+    """Return a node process on loopback with the platform's listeners."""
     document = platform_setup.settings(
         self__ip=IP,
         network__seeds=[],
@@ -46,7 +46,7 @@
 
 
 async def send_heartbeat(session, number, **changes):
-    """Send a heartbeat; return its status, or 0 where nobody listens."""
+    """Send a heartbeat; return the status, 0 without a connection."""
     url = 'http://%s:8620/carawaystair/instances/i-1' % IP
     body = {**HEARTBEAT, 'seq': number, **changes}
     try:
@@ -57,7 +57,7 @@
 
 
 async def ready_status(session):
-    """Ask whether the node is ready; 0 where nobody listens."""
+    """Return the status of the readiness check, 0 without a connection."""
     url = 'http://%s:8625%s' % (IP, main.READY_PATH)
     try:
         async with session.get(url) as answer:
@@ -66,14 +66,15 @@
         return 0
 
 
-def test_upstream_is_heard_while_its_node_finishes_its_work():
-    """Symptom: of the calls of upstreams one in four fails while hosts stop
-    by turns; an upstream that drains meanwhile gets no acknowledgement and
-    ends with work in progress.
-    Sequence: a node is told to stop and finishes its work for seconds; the
-    upstream beside it goes on with its heartbeats.
-    Cause: what starts last stops first, and the listener for heartbeats was
-    started after the node.
+def test_heartbeats_are_accepted_while_the_node_finishes_requests():
+    """Guards against heartbeats that fail while a node stops.
+
+    A stopping node takes seconds to finish its requests while the upstream on
+    its host goes on sending heartbeats.  The service that starts last stops
+    first, and the listener for heartbeats was started after the node.  While
+    hosts stopped in turn, one in four calls of upstreams failed, and an
+    upstream that drained got no acknowledgement and ended with requests in
+    progress.
     """
 
     async def _run():
@@ -90,14 +91,14 @@
                 await ready_status(session),
             ]
             during.append(await send_heartbeat(session, 3, state='draining'))
-            gateway_waits = not stopping.done()
+            node_still_stopping = not stopping.done()
             await stopping
-        return before, during, gateway_waits
+        return before, during, node_still_stopping
 
     async def _bounded():
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await _run()
 
-    before, during, gateway_waits = asyncio.run(_bounded())
-    assert gateway_waits
+    before, during, node_still_stopping = asyncio.run(_bounded())
+    assert node_still_stopping
     assert (before, *during) == (200, 200, 503, 200)
