--- a/carawaystair/outlier/outgoing.py
+++ b/carawaystair/outlier/paced_sender.py
@@ -1,4 +1,4 @@
-"""Sends datagrams to many processes without holding up the event loop."""
+"""Sends datagrams to many processes without blocking the event loop."""
 
 import asyncio
 import collections
@@ -7,16 +7,17 @@
 
 import mode
 
-# So many datagrams go out at once, about a millisecond of work; then the
-# requests that wait get their turn.
-BURST = 40
+# Datagrams sent in one go, about a millisecond of work; then waiting requests
+# get their turn.
+BURST_DATAGRAMS = 40
 PAUSE_S = 0.002
-# Datagrams that wait; the oldest are dropped, later states repair them.
-QUEUE = 20_000
+# Datagrams in the queue; the oldest are dropped, and later states repair the
+# loss.
+MAX_QUEUE = 20_000
 
 
-class Outgoing(mode.Service):
-    """Paced sending.
+class PacedSender(mode.Service):
+    """Sends datagrams in bursts with pauses between them.
 
     :param transport: the datagrams of this process.
     """
@@ -24,16 +25,16 @@
     def __init__(self, transport: typing.Any, **kwargs) -> None:
         super().__init__(**kwargs)
         self.transport = transport
-        self.queue = collections.deque(maxlen=QUEUE)
+        self.queue = collections.deque(maxlen=MAX_QUEUE)
         self.wake = asyncio.Event()
         self.sent = 0
 
     def send(self, addresses: typing.Iterable[str], messages) -> None:
-        """Send messages to each address, the first of them at once."""
+        """Send messages to each address, the first burst at once."""
         pairs = [
             (address, message) for address in addresses for message in messages
         ]
-        now = [] if self.queue else pairs[:BURST]
+        now = [] if self.queue else pairs[:BURST_DATAGRAMS]
         for address, message in now:
             self._send(address, message)
         self.queue.extend(itertools.islice(pairs, len(now), None))
@@ -46,11 +47,11 @@
 
     @mode.Service.task
     async def _drain(self) -> None:
-        """Send what waits, a burst at a time."""
+        """Send the queue, a burst at a time."""
         while not self.should_stop:
             await self.wake.wait()
             await asyncio.sleep(PAUSE_S)
-            for _index in range(min(BURST, len(self.queue))):
+            for _index in range(min(BURST_DATAGRAMS, len(self.queue))):
                 self._send(*self.queue.popleft())
             if not self.queue:
                 self.wake.clear()
