--- a/test/test_platform_stop.py
+++ b/test/test_platform_stop.py
@@ -1,4 +1,4 @@
-"""What the platform finds at a host while its node stops."""
+"""Tests of the platform's listeners while a node stops."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 from test import platform_setup  # makes the next import possible
 
 from adapter import main
-from adapter import place as places
+from adapter import platform_settings
 
 IP = '127.88.41.1'
-BEAT = {
+HEARTBEAT = {
     'service': 'wuno96b',
     'address': IP + ':8628',
     'zone': 'a',
@@ -22,12 +22,12 @@
     'cold_remaining': '0ms',
     'born': 1764720000000,
 }
-PATIENCE_S = 10.0
+TEST_TIMEOUT_S = 10.0
 POLL_S = 0.05
 
 
-def made():
-    """Return a node on loopback, with what the platform calls there."""
+def node_process():
+    """Return a node process on loopback with the platform's listeners."""
     document = platform_setup.settings(
         self__ip=IP,
         network__seeds=[],
@@ -38,17 +38,17 @@
             'control': IP + ':8620',
         },
     )
-    place = places.read(document)
-    settings = places.fleet_settings(place)
+    deployment = platform_settings.parse(document)
+    settings = platform_settings.fleet_settings(deployment)
     process = kernels.Kernel(settings, plugins.load(commands=False))
-    main.extend(place, process)
+    main.add_listeners(deployment, process)
     return process
 
 
-async def beat(session, number, **changes):
-    """Send a heartbeat; return its status, or 0 where nobody listens."""
+async def send_heartbeat(session, number, **changes):
+    """Send a heartbeat; return the status, 0 without a connection."""
     url = 'http://%s:8620/carawaystair/instances/i-1' % IP
-    body = {**BEAT, 'seq': number, **changes}
+    body = {**HEARTBEAT, 'seq': number, **changes}
     try:
         async with session.put(url, json=body) as answer:
             return answer.status
@@ -56,8 +56,8 @@
         return 0
 
 
-async def ready(session):
-    """Ask whether the node is ready; 0 where nobody listens."""
+async def ready_status(session):
+    """Return the status of the readiness check, 0 without a connection."""
     url = 'http://%s:8625%s' % (IP, main.READY_PATH)
     try:
         async with session.get(url) as answer:
@@ -66,35 +66,39 @@
         return 0
 
 
-def test_upstream_is_heard_while_its_node_finishes_its_work():
-    """Symptom: of the calls of upstreams one in four fails while hosts stop
-    by turns; an upstream that drains meanwhile gets no acknowledgement and
-    ends with work in progress.
-    Sequence: a node is told to stop and finishes its work for seconds; the
-    upstream beside it goes on with its heartbeats.
-    Cause: what starts last stops first, and the listener for heartbeats was
-    started after the node.
+def test_heartbeats_are_accepted_while_the_node_finishes_requests():
+    """Guards against heartbeats that fail while a node stops.
+
+    A stopping node takes seconds to finish its requests while the upstream on
+    its host goes on sending heartbeats.  The service that starts last stops
+    first, and the listener for heartbeats was started after the node.  While
+    hosts stopped in turn, one in four calls of upstreams failed, and an
+    upstream that drained got no acknowledgement and ended with requests in
+    progress.
     """
 
     async def _run():
-        process = made()
+        process = node_process()
         await process.start()
         node = process.roles[0]
         async with aiohttp.ClientSession() as session:
-            before = await beat(session, 1)
+            before = await send_heartbeat(session, 1)
             stopping = asyncio.ensure_future(process.stop())
             while not node.gateway.stopping:
                 await asyncio.sleep(POLL_S)
-            during = [await beat(session, 2), await ready(session)]
-            during.append(await beat(session, 3, state='draining'))
-            gateway_waits = not stopping.done()
+            during = [
+                await send_heartbeat(session, 2),
+                await ready_status(session),
+            ]
+            during.append(await send_heartbeat(session, 3, state='draining'))
+            node_still_stopping = not stopping.done()
             await stopping
-        return before, during, gateway_waits
+        return before, during, node_still_stopping
 
     async def _bounded():
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await _run()
 
-    before, during, gateway_waits = asyncio.run(_bounded())
-    assert gateway_waits
+    before, during, node_still_stopping = asyncio.run(_bounded())
+    assert node_still_stopping
     assert (before, *during) == (200, 200, 503, 200)
