--- a/carawaystair/membership/service.py
+++ b/carawaystair/membership/service.py
@@ -12,20 +12,20 @@
 from carawaystair import interfaces
 from carawaystair import logs
 from carawaystair.membership import address_locations as locations
-from carawaystair.membership import aging
+from carawaystair.membership import anti_entropy
 from carawaystair.membership import api
 from carawaystair.membership import bounds
+from carawaystair.membership import dead_prober
+from carawaystair.membership import direct_push
 from carawaystair.membership import directory as directories
-from carawaystair.membership import flood as floods
+from carawaystair.membership import expiry
+from carawaystair.membership import flooding
 from carawaystair.membership import gossip
-from carawaystair.membership import interest as interests
 from carawaystair.membership import join
 from carawaystair.membership import members as member_lists
 from carawaystair.membership import messages
 from carawaystair.membership import probe
 from carawaystair.membership import registry as registries
-from carawaystair.membership import revival
-from carawaystair.membership import sync as syncs
 from carawaystair.membership import table as tables
 
 # A record with new upstreams is published this long after the first of them,
@@ -119,32 +119,32 @@
         self.registry.fleet_incarnation = self.directory.incarnation
         self.directory.subscribe(self._end_moved_lease)
         self.table.set_own_record(self._record(), self._own_incarnation())
-        self.flood = floods.Flood(self.table, transport)
+        self.flooder = flooding.Flooder(self.table, transport)
         self.gossip = gossip.Gossip(self.table, datagrams, rng)
         self.prober = probe.Prober(self.table, self.gossip, datagrams, rng)
-        self.revival = revival.Revival(self.table, self.prober, rng)
-        self.prober.suspicions.stood_still.append(self._handle_stall)
-        self.sync = syncs.Sync(
+        self.dead_prober = dead_prober.DeadProber(self.table, self.prober, rng)
+        self.prober.suspicions.pause_listeners.append(self._handle_stall)
+        self.anti_entropy = anti_entropy.AntiEntropy(
             self.table,
-            self.flood,
+            self.flooder,
             self.prober,
-            self.revival,
+            self.dead_prober,
             transport,
             rng,
         )
-        self.interest = interests.Interest(
-            self.table, self.directory, self.flood, datagrams
+        self.direct_push = direct_push.DirectPush(
+            self.table, self.directory, self.flooder, datagrams
         )
         self.joining = join.Joining(
             self.table,
-            self.flood,
+            self.flooder,
             self.prober,
-            self.revival,
+            self.dead_prober,
             transport,
             seeds,
             rng,
         )
-        self.aging = aging.Aging(self.table)
+        self.expiry = expiry.HostExpiry(self.table)
         self.api = api.Api(self.registry, self.directory)
 
     @property
@@ -153,7 +153,7 @@
 
         It is also set if there are no seeds.
         """
-        return self.sync.agreed
+        return self.anti_entropy.synced
 
     def routes(self) -> list[web.RouteDef]:
         """Return the HTTP routes for the upstreams of this host."""
@@ -164,14 +164,14 @@
         parts = (
             self.directory,
             self.registry,
-            self.flood,
+            self.flooder,
             self.gossip,
             self.prober,
-            self.revival,
-            self.sync,
-            self.interest,
+            self.dead_prober,
+            self.anti_entropy,
+            self.direct_push,
             self.joining,
-            self.aging,
+            self.expiry,
         )
         if not self.joining.seeds:
             self.joined.set()
@@ -193,7 +193,9 @@
         self.left = True
         self._publish()
         remaining_s = max(self.leave_deadline - clock.now(), MIN_LEAVE_WAIT_S)
-        if not await self.flood.drained(min(MAX_LEAVE_WAIT_S, remaining_s)):
+        if not await self.flooder.wait_until_acknowledged(
+            min(MAX_LEAVE_WAIT_S, remaining_s)
+        ):
             LOG.warning('Left before all neighbours acknowledged it.')
 
     def publish(self, urgent: bool) -> None:
@@ -227,14 +229,14 @@
 
         :param incarnation: the incarnation in the report.
         """
-        if messages.start(incarnation) > self.incarnation:
-            self.renumber(messages.start(incarnation))
+        if messages.process_start(incarnation) > self.incarnation:
+            self.renumber(messages.process_start(incarnation))
         elif not self.left and incarnation >= self._own_incarnation():
             self.refutations += 1
             self.table.set_own_record(
                 self.table.own_entry.record, self._own_incarnation()
             )
-            self.prober.awareness.worsen()
+            self.prober.awareness.raise_score()
             self.gossip.refute()
 
     def renumber(self, incarnation: int) -> None:
@@ -254,7 +256,7 @@
 
     def _own_incarnation(self) -> int:
         """Return the incarnation with which this process answers probes."""
-        return messages.first(self.incarnation) + self.refutations
+        return messages.first_incarnation(self.incarnation) + self.refutations
 
     def _publish(self) -> None:
         if self.publish_timer is not None:
@@ -263,18 +265,18 @@
         self.sequence += 1
         self.published_at = clock.now()
         record = self._record()
-        urgent = messages.takes_away(self.table.own_entry.record, record)
+        urgent = messages.ends_upstreams(self.table.own_entry.record, record)
         self.table.set_own_record(record, self._own_incarnation())
-        self.flood.spread(self.identity.host, urgent)
+        self.flooder.forward(self.identity.host, urgent)
         if urgent:
-            self.interest.push(record)
+            self.direct_push.push(record)
 
     def _handle_stall(self, late: float) -> None:
         """Lower the confidence in own probes after a stall; rejoin if long.
 
         :param late: duration of the stall in seconds.
         """
-        self.prober.awareness.worsen()
+        self.prober.awareness.raise_score()
         if late < MAX_STALL_S:
             return
         LOG.warning(
--- a/carawaystair/membership/table.py
+++ b/carawaystair/membership/table.py
@@ -147,7 +147,7 @@
             # restarted after the clock had been set back.
             self.on_newer_start(record.incarnation)
             return False
-        body, left_out = messages.read(record.body)
+        body, left_out = messages.unpack_usable(record.body)
         full = entry is None and len(self.entries) >= MAX_HOSTS
         if body is None or full:
             self._refuse(record, 'host table full' if full else 'malformed')
@@ -214,7 +214,7 @@
             return False
         if not _overrides(state, incarnation, entry.state, known):
             return False
-        newer = messages.start(incarnation) > entry.record.incarnation
+        newer = messages.process_start(incarnation) > entry.record.incarnation
         if state == messages.ALIVE and newer:
             # The process was restarted.  If the host were set alive now, the
             # upstreams in the record of the old process would be listed
@@ -258,7 +258,7 @@
         self, entry: Entry, record: messages.Record, body: messages.Body
     ) -> None:
         change = Change(entry, entry.state, entry.record)
-        first_incarnation = messages.first(record.incarnation)
+        first_incarnation = messages.first_incarnation(record.incarnation)
         restarted = first_incarnation > entry.member.incarnation
         incarnation = max(first_incarnation, entry.member.incarnation)
         entry.record = record
@@ -317,6 +317,6 @@
         sys.intern(body.region),
         sys.intern(body.peer),
         sys.intern(body.gossip),
-        messages.first(record.incarnation),
+        messages.first_incarnation(record.incarnation),
         body.control,
     )
--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -33,7 +33,7 @@
 
     def put(self, host, sequence, *rows, **kwargs):
         """Store a record with the given rows in the table."""
-        self.table.put(spread.record(host, 1, sequence, rows, **kwargs))
+        self.table.put(spread.make_record(host, 1, sequence, rows, **kwargs))
 
     def ids(self, service='stock'):
         """Return id and host of each upstream of a service."""
@@ -75,14 +75,18 @@
     def _steps(fixture):
         fixture.put('h1', 1, row('a'))
         assert fixture.ids() == [('a', 'h1')]
-        fixture.table.apply_liveness('h1', messages.SUSPECT, messages.first(1))
+        fixture.table.apply_liveness(
+            'h1', messages.SUSPECT, messages.first_incarnation(1)
+        )
         assert fixture.ids() == [('a', 'h1')]
-        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        fixture.table.apply_liveness(
+            'h1', messages.DEAD, messages.first_incarnation(1)
+        )
         assert fixture.ids() == []
         fixture.put('h1', 2, row('a'), row('b'))
         assert fixture.ids() == []
         fixture.table.apply_liveness(
-            'h1', messages.ALIVE, messages.first(1) + 1
+            'h1', messages.ALIVE, messages.first_incarnation(1) + 1
         )
         assert fixture.ids() == [('a', 'h1'), ('b', 'h1')]
         states = [state for _id, _host, state in fixture.told]
@@ -101,12 +105,14 @@
 
     def _steps(fixture):
         fixture.put('h1', 1, row('a'))
-        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        fixture.table.apply_liveness(
+            'h1', messages.DEAD, messages.first_incarnation(1)
+        )
         assert not fixture.table.apply_liveness(
-            'h1', messages.ALIVE, messages.first(2)
+            'h1', messages.ALIVE, messages.first_incarnation(2)
         )
         assert fixture.ids() == []
-        fixture.table.put(spread.record('h1', 2, 0, (row('b'),)))
+        fixture.table.put(spread.make_record('h1', 2, 0, (row('b'),)))
         assert fixture.ids() == [('b', 'h1')]
 
     run(_steps)
@@ -126,7 +132,9 @@
         assert fixture.ids() == [('a', 'h1')]
         fixture.put('h2', 1, row('a', incarnation=2))
         assert fixture.ids() == [('a', 'h2')]
-        fixture.table.apply_liveness('h1', messages.DEAD, messages.first(1))
+        fixture.table.apply_liveness(
+            'h1', messages.DEAD, messages.first_incarnation(1)
+        )
         assert fixture.ids() == [('a', 'h2')]
         assert fixture.told[-1] == ('a', 'h2', 'up')
         fixture.put('h2', 2)
--- a/test/test_membership_registry.py
+++ b/test/test_membership_registry.py
@@ -11,7 +11,7 @@
 from carawaystair.membership import service
 from soak import entries
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 ANNOUNCEMENT = registries.Announcement('stock', '127.0.0.1:9000', 4)
 
@@ -137,7 +137,7 @@
 
 def test_upstreams_are_announced_listed_and_removed_by_http():
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         await node.start()
         app = web.Application()
         app.add_routes(node.routes())
@@ -183,7 +183,7 @@
     """
 
     async def _run():
-        node = whole.make(fakes.Network(), 0)
+        node = membership_tests.make_node(fakes.Network(), 0)
         await node.start()
         node.registry.announce('a', ANNOUNCEMENT, 5)
         before = node.registry.rows()
--- a/test/test_membership_spread.py
+++ b/test/test_membership_spread.py
@@ -1,4 +1,4 @@
-"""Tests of how records spread: flooding, anti-entropy, straight pushes."""
+"""Tests of record distribution: flooding, anti-entropy, direct push."""
 
 import asyncio
 import random
@@ -6,23 +6,23 @@
 import pytest
 
 from carawaystair.membership import digest
-from carawaystair.membership import flood as floods
+from carawaystair.membership import flooding
 from carawaystair.membership import messages
-from carawaystair.membership import ring
+from carawaystair.membership import overlay
 from carawaystair.membership import table as tables
 from test import fakes
-from test import test_membership as whole
+from test import test_membership as membership_tests
 
 
-def record(host, incarnation=1, sequence=0, upstreams=(), left=False):
-    """Return a made-up record."""
+def make_record(host, incarnation=1, sequence=0, upstreams=(), left=False):
+    """Return a record with placeholder addresses."""
     address = '127.0.0.1:1'
     body = messages.Body('dc', 'region', address, address, False, upstreams)
     packed = messages.pack(body)
     return messages.Record(host, incarnation, sequence, left, packed)
 
 
-async def until(condition, limit_s):
+async def wait_until(condition, limit_s):
     """Wait for a condition; return the seconds that it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -32,29 +32,32 @@
     return loop.time() - began
 
 
-def test_leave_reaches_a_hundred_nodes_under_loss():
-    """Leaves while a fifth of all messages between nodes are lost.
+def test_drain_reaches_a_hundred_nodes_under_loss():
+    """Upstreams drain while a fifth of all messages between nodes are lost.
 
-    Symptom: some node sends new work to an upstream seconds after it began
-    to drain.  Sequence: no control host runs, messages are lost, upstreams
-    drain and leave.  Cause: a lost message is not sent again.
+    Guards against nodes that send new requests to an upstream seconds after
+    it began to drain, because a lost message is not sent again.  No control
+    host runs.
     """
 
     async def _run():
         network = fakes.Network(seed=5)
-        nodes = await whole.fleet(network, 104, settle_s=4)
+        nodes = await membership_tests.start_fleet(network, 104, settle_s=4)
         for number in range(5):
-            whole.announce(nodes[number * 20], 'u%d' % number)
+            membership_tests.announce(nodes[number * 20], 'u%d' % number)
         await asyncio.sleep(2)
-        assert all(len(whole.states(node)) == 5 for node in nodes)
+        assert all(
+            len(membership_tests.upstream_states(node)) == 5 for node in nodes
+        )
         network.loss = 0.2
         for number in range(5):
             owner = nodes[number * 20]
-            whole.announce(owner, 'u%d' % number, 'draining')
+            membership_tests.announce(owner, 'u%d' % number, 'draining')
             name = 'u%d' % number
-            await until(
+            await wait_until(
                 lambda name=name: all(
-                    whole.states(node).get(name) == 'draining'
+                    membership_tests.upstream_states(node).get(name)
+                    == 'draining'
                     for node in nodes
                 ),
                 2.0,
@@ -64,38 +67,40 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_random_changes_converge_and_nothing_left_returns(seed):
-    """Upstreams and hosts come and go at random, with loss and doubles.
+def test_random_changes_converge_without_resurrected_upstreams(seed):
+    """Upstreams come and go at random, with losses, duplicates and cuts.
 
-    Symptom: an upstream that left is listed again, or nodes disagree for
-    ever.  Sequence: random.  Cause: a late announcement, a record lost on
-    every path, or a host's return taken for that of its upstreams.
+    Guards against upstreams that left and are listed again, and against
+    nodes that never agree: by a delayed older record, a record lost on every
+    path, or a host that returns and is taken to bring its upstreams back.
     """
 
     async def _run():
         rng = random.Random(seed)
         network = fakes.Network(seed, 0.2, 0.1, (0.0005, 0.05))
-        nodes = await whole.fleet(network, 10, settle_s=15)
+        nodes = await membership_tests.start_fleet(network, 10, settle_s=15)
         left, listed, returned = set(), {}, []
 
-        def _seen(node, item):
+        def _check_item(node, item):
             if item.id in left and item.state == 'up':
                 returned.append((node, item))
 
         for node in nodes:
-            node.directory.subscribe(lambda u, n=node: _seen(n.identity, u))
+            node.directory.subscribe(
+                lambda u, n=node: _check_item(n.identity, u)
+            )
         for step in range(40):
             owner = rng.choice(nodes)
-            mine = [n for n, node in listed.items() if node is owner]
-            if mine and rng.random() < 0.5:
-                name = rng.choice(mine)
+            own_upstreams = [n for n, node in listed.items() if node is owner]
+            if own_upstreams and rng.random() < 0.5:
+                name = rng.choice(own_upstreams)
                 owner.registry.remove(name)
                 del listed[name]
                 await asyncio.sleep(2.0)
                 left.add(name)
             else:
                 name = 'u%d' % step
-                whole.announce(owner, name)
+                membership_tests.announce(owner, name)
                 listed[name] = owner
             if rng.random() < 0.1:
                 pair = [n.identity.peer for n in rng.sample(nodes, 2)]
@@ -106,244 +111,267 @@
         await asyncio.sleep(40)
         assert returned == []
         wanted = dict.fromkeys(listed, 'up')
-        assert all(whole.states(node) == wanted for node in nodes)
+        assert all(
+            membership_tests.upstream_states(node) == wanted for node in nodes
+        )
         totals = {node.prober.digests() for node in nodes}
         assert len(totals) == 1
 
     fakes.run(_run())
 
 
-def test_a_late_older_record_changes_nothing():
-    """An old announcement arrives after the leave.
+def test_delayed_older_record_is_ignored():
+    """A record is delayed on one path and overtaken by a newer one.
 
-    Symptom: an upstream that left is listed again.  Sequence: a record is
-    held up on one path, the next one overtakes it.  Cause: the last to
-    arrive wins.
+    Guards against an upstream that left and is listed again because the
+    record that arrives last wins.
     """
 
     async def _run():
         table = tables.Table('me')
-        old, new = record('a', 1, 1), record('a', 1, 2, left=True)
+        old, new = make_record('a', 1, 1), make_record('a', 1, 2, left=True)
         assert table.put(new)
         assert not table.put(old)
         assert table.entries['a'].state == messages.LEFT
         assert not table.apply_liveness('a', messages.ALIVE, 1)
-        assert table.put(record('a', 2, 0))
+        assert table.put(make_record('a', 2, 0))
         outdated = []
         table.on_newer_start = outdated.append
-        table.set_own_record(record('me', 5, 3), messages.first(5))
-        assert not table.put(record('me', 5, 3))
-        assert not table.put(record('me', 7, 0))
+        table.set_own_record(
+            make_record('me', 5, 3), messages.first_incarnation(5)
+        )
+        assert not table.put(make_record('me', 5, 3))
+        assert not table.put(make_record('me', 7, 0))
         assert outdated == [7]
 
     fakes.run(_run())
 
 
-def test_a_record_lost_on_every_path_is_mended():
-    """A node misses a change altogether.
+def test_anti_entropy_repairs_a_lost_record():
+    """Guards against a node that never learns of a change which it missed.
 
-    Symptom: it never learns of it.  Sequence: it is cut off from all while
-    a change is flooded and given up.  Cause: nothing looks for differences.
+    The node drops every record while the change is flooded.
     """
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 8)
+        nodes = await membership_tests.start_fleet(network, 8)
         await asyncio.sleep(5)
         nodes[5].table.put, put = lambda record: False, nodes[5].table.put
-        whole.announce(nodes[1], 'a')
+        membership_tests.announce(nodes[1], 'a')
         await asyncio.sleep(1)
         nodes[5].table.put = put
-        assert whole.states(nodes[5]) == {}
+        assert membership_tests.upstream_states(nodes[5]) == {}
         await asyncio.sleep(6)
-        assert whole.states(nodes[5]) == {'a': 'up'}
+        assert membership_tests.upstream_states(nodes[5]) == {'a': 'up'}
         await asyncio.sleep(5)
-        rounds = [node.sync.rounds for node in nodes]
+        rounds = [node.anti_entropy.comparisons for node in nodes]
         await asyncio.sleep(30)
-        # A fleet that agrees compares digests in its probes only.
-        assert [node.sync.rounds for node in nodes] == rounds
+        # While all nodes agree, digests are compared only in probes.
+        assert [node.anti_entropy.comparisons for node in nodes] == rounds
 
     fakes.run(_run())
 
 
-def test_what_a_neighbour_missed_is_sent_again():
-    """Two processes, and three of ten messages are lost between them.
+def test_lost_record_is_resent_until_acknowledged():
+    """Three of ten messages between two processes are lost.
 
-    Symptom: a leave waits for anti-entropy.  Sequence: the one message with
-    it is lost.  Cause: it is not sent again until acknowledged.
+    Guards against a change that must wait for anti-entropy because the only
+    message with it was lost.
     """
 
     async def _run():
         network = fakes.Network(seed=2)
-        nodes = await whole.fleet(network, 2)
+        nodes = await membership_tests.start_fleet(network, 2)
         for node in nodes:
-            node.prober.compared.clear()
+            node.prober.digest_listeners.clear()
         network.loss = 0.3
         for number in range(10):
             name = 'u%d' % number
-            whole.announce(nodes[1], name)
-            await until(lambda name=name: name in whole.states(nodes[0]), 6)
+            membership_tests.announce(nodes[1], name)
+            await wait_until(
+                lambda name=name: (
+                    name in membership_tests.upstream_states(nodes[0])
+                ),
+                6,
+            )
 
     fakes.run(_run())
 
 
-def test_a_data_centre_returns_all_at_once():
-    """A quarter of the hosts starts in the same moment.
+def test_return_of_a_data_centre_does_not_saturate_links():
+    """A quarter of the hosts start at the same moment, as after a power loss.
 
-    Symptom: links and seeds are flooded by thousands of announcements.
-    Sequence: a data centre loses power and is back, every upstream
-    announces itself at once.  Cause: each announcement travels alone and at
-    once.
+    Guards against links and seeds overloaded by thousands of announcements,
+    each sent immediately in a message of its own.
     """
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 30)
+        nodes = await membership_tests.start_fleet(network, 30)
         await asyncio.sleep(5)
         before = network.carried
-        back = [whole.make(network, number) for number in range(30, 40)]
-        for node in back:
+        new_nodes = [
+            membership_tests.make_node(network, number)
+            for number in range(30, 40)
+        ]
+        for node in new_nodes:
             await node.start()
         for number in range(100):
-            for node in back:
-                whole.announce(node, '%s-%d' % (node.identity.host, number))
+            for node in new_nodes:
+                membership_tests.announce(
+                    node, '%s-%d' % (node.identity.host, number)
+                )
             await asyncio.sleep(0.01)
-        everybody = nodes + back
-        await until(
-            lambda: all(len(whole.states(node)) == 1000 for node in everybody),
+        all_nodes = nodes + new_nodes
+        await wait_until(
+            lambda: all(
+                len(membership_tests.upstream_states(node)) == 1000
+                for node in all_nodes
+            ),
             10.0,
         )
-        # A thousand announcements; each alone would be ten times as much.
+        # Sent one by one, the thousand announcements would take ten times as
+        # many messages.
         assert (network.carried - before) / 40 < 400
 
     fakes.run(_run())
 
 
-def test_a_batch_is_bounded_and_a_waiting_record_is_the_newest():
+def test_batches_are_bounded_and_carry_the_newest_records():
     async def _run():
         table = tables.Table('me')
-        flood = floods.Flood(table, fakes.Network().transport('127.0.0.1:1'))
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(
+            table, fakes.Network().transport('127.0.0.1:1')
+        )
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         rng = random.Random(1)
         for number in range(1000):
             rows = (messages.Row(rng.randbytes(200).hex(), 's', '', *[1] * 6),)
-            table.put(record('h%d' % number, 1, 0, rows))
-            feed.add('h%d' % number)
-        table.put(record('h0', 1, 1))
+            table.put(make_record('h%d' % number, 1, 0, rows))
+            queue.add('h%d' % number)
+        table.put(make_record('h0', 1, 1))
         sizes = []
-        while feed.waiting:
-            batch = flood._batch(feed)
+        while queue.to_push:
+            batch = flooder._next_batch(queue)
             sizes.append(sum(len(r.body) for r in batch))
             if len(sizes) == 1:
                 assert batch[0].version == (1, 1)
-        assert max(sizes) < floods.BATCH_BYTES + 1000
+        assert max(sizes) < flooding.BATCH_BYTES + 1000
         assert len(sizes) > 5
 
     fakes.run(_run())
 
 
-def test_leave_does_not_wait_until_offers_have_gathered():
-    """Guards against news that waits for the next look at what is urgent."""
+def test_urgent_record_ends_the_pause_after_an_offer():
+    """Guards against an urgent record that waits for the end of the pause."""
 
     async def _run():
         loop = asyncio.get_running_loop()
         transport = fakes.Network().transport('127.0.0.1:1')
-        flood = floods.Flood(tables.Table('me'), transport)
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(tables.Table('me'), transport)
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         began = loop.time()
-        gathering = asyncio.ensure_future(flood._gather(feed))
-        await asyncio.sleep(floods.OFFER_GAP_S / 8)
-        feed.add('others', False)
-        await asyncio.sleep(floods.OFFER_GAP_S / 8)
-        assert not gathering.done()
-        feed.add('leaver')
-        await gathering
+        pause = asyncio.ensure_future(flooder._await_offers(queue))
+        await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
+        queue.add('others', False)
+        await asyncio.sleep(flooding.OFFER_PAUSE_S / 8)
+        assert not pause.done()
+        queue.add('leaver')
+        await pause
         taken_s = loop.time() - began
-        assert taken_s == pytest.approx(floods.OFFER_GAP_S / 4)
-        # What was urgent before has been sent; the next offers gather again.
-        feed.waiting.clear()
+        assert taken_s == pytest.approx(flooding.OFFER_PAUSE_S / 4)
+        # After the urgent record was sent, the next pause lasts in full.
+        queue.to_push.clear()
         began = loop.time()
-        await flood._gather(feed)
-        assert loop.time() - began >= floods.OFFER_GAP_S
+        await flooder._await_offers(queue)
+        assert loop.time() - began >= flooding.OFFER_PAUSE_S
 
     fakes.run(_run())
 
 
-def test_pause_after_an_offer_wakes_nobody_until_it_ends(monkeypatch):
-    """Guards against polls by each of the feeds while others gather."""
+def test_pause_after_an_offer_does_not_poll(monkeypatch):
+    """Guards against polling by the queue of every neighbour in the pause."""
 
     async def _run():
         async def _poll(_time_s):
-            raise AssertionError('a poll')
+            raise AssertionError('pause polls with asyncio.sleep')
 
         monkeypatch.setattr(asyncio, 'sleep', _poll)
         transport = fakes.Network().transport('127.0.0.1:1')
-        flood = floods.Flood(tables.Table('me'), transport)
-        feed = floods.Feed('127.0.0.1:2')
+        flooder = flooding.Flooder(tables.Table('me'), transport)
+        queue = flooding.NeighbourQueue('127.0.0.1:2')
         loop = asyncio.get_running_loop()
-        lasted = []
+        durations = []
         for urgent in (False, True):
             began = loop.time()
-            loop.call_later(floods.OFFER_GAP_S / 4, feed.add, 'h', urgent)
-            await flood._gather(feed)
-            lasted.append(loop.time() - began)
-        assert lasted == pytest.approx(
-            [floods.OFFER_GAP_S, floods.OFFER_GAP_S / 4]
+            loop.call_later(flooding.OFFER_PAUSE_S / 4, queue.add, 'h', urgent)
+            await flooder._await_offers(queue)
+            durations.append(loop.time() - began)
+        assert durations == pytest.approx(
+            [flooding.OFFER_PAUSE_S, flooding.OFFER_PAUSE_S / 4]
         )
 
     fakes.run(_run())
 
 
-def test_process_that_does_not_know_offers_gets_records_pushed():
-    """Guards against a rolling upgrade that leaves old processes behind."""
+def test_process_without_support_for_offers_gets_records_pushed():
+    """Guards against a rolling upgrade that cuts off old processes."""
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
+        nodes = await membership_tests.start_fleet(network, 6)
         for node in nodes[3:]:
             node.transport.handlers.pop(messages.Offer)
         for node in nodes:
-            node.prober.compared.clear()
-        whole.announce(nodes[1], 'a')
-        await until(
-            lambda: all(whole.states(node) == {'a': 'up'} for node in nodes),
+            node.prober.digest_listeners.clear()
+        membership_tests.announce(nodes[1], 'a')
+        await wait_until(
+            lambda: all(
+                membership_tests.upstream_states(node) == {'a': 'up'}
+                for node in nodes
+            ),
             2.0,
         )
 
     fakes.run(_run())
 
 
-def test_those_that_send_get_it_straight():
-    """All links for messages fail; datagrams still pass.
+def test_registered_nodes_get_drains_by_datagram():
+    """Records over links fail; datagrams still pass.
 
-    Symptom: a node goes on sending to an upstream that drains.  Sequence:
-    TCP between hosts is stuck, the upstream drains.  Cause: flooding over
-    links is the only way.
+    Guards against a node that keeps sending requests to a draining upstream
+    because flooding over TCP is the only way to learn of it.
     """
 
     async def _run():
         network = fakes.Network()
-        nodes = await whole.fleet(network, 6)
-        whole.announce(nodes[1], 'a')
+        nodes = await membership_tests.start_fleet(network, 6)
+        membership_tests.announce(nodes[1], 'a')
         await asyncio.sleep(1)
         nodes[4].directory.mark_in_use('stock')
         await asyncio.sleep(2)
-        assert len(nodes[1].interest.senders) == 1
+        assert len(nodes[1].direct_push.subscribers) == 1
         for node in nodes:
             node.transport.handlers.pop(messages.Batch)
-            node.prober.compared.clear()
+            node.prober.digest_listeners.clear()
         network.loss = 0.4
         for number in range(6):
             name = 'u%d' % number
-            whole.announce(nodes[1], name, 'draining')
-            await until(lambda name=name: name in whole.states(nodes[4]), 1.5)
-        assert whole.states(nodes[3]) == {'a': 'up'}
+            membership_tests.announce(nodes[1], name, 'draining')
+            await wait_until(
+                lambda name=name: (
+                    name in membership_tests.upstream_states(nodes[4])
+                ),
+                1.5,
+            )
+        assert membership_tests.upstream_states(nodes[3]) == {'a': 'up'}
 
     fakes.run(_run())
 
 
 def reach(links, first):
-    """Return the hops from a host to all that it reaches, and how many."""
+    """Return the hops from a host to all reachable hosts, and their number."""
     reached, hops, before = {first}, 0, 0
     while len(reached) > before:
         before = len(reached)
@@ -352,53 +380,58 @@
     return hops, len(reached)
 
 
-def test_the_overlay_links_everybody_in_few_hops():
+def test_overlay_connects_all_hosts_in_few_hops():
     names = {'h%d' % number: 'dc' for number in range(500)}
-    links = {name: ring.neighbours(name, names) for name in names}
+    links = {name: overlay.neighbours(name, names) for name in names}
     assert max(len(found) for found in links.values()) == 7
     hops, reached = reach(links, 'h0')
     assert reached == 500
     assert hops <= 12
-    assert ring.neighbours('a', {'a': 'dc'}) == ()
-    assert set(ring.neighbours('a', dict.fromkeys('abc', 'dc'))) == set('bc')
+    assert overlay.neighbours('a', {'a': 'dc'}) == ()
+    assert set(overlay.neighbours('a', dict.fromkeys('abc', 'dc'))) == set(
+        'bc'
+    )
 
 
 @pytest.mark.parametrize('centres', [2, 6, 30])
-def test_few_edges_of_the_overlay_leave_a_data_centre(centres):
-    """Guards against records that cross between data centres host by host."""
+def test_few_links_of_the_overlay_leave_a_data_centre(centres):
+    """Guards against records sent to another data centre once per host."""
     names = {'h%d' % n: 'dc%d' % (n % centres) for n in range(240)}
-    links = {name: ring.neighbours(name, names) for name in names}
-    far = [
+    links = {name: overlay.neighbours(name, names) for name in names}
+    remote_links = [
         (name, other)
         for name, found in links.items()
         for other in found
         if names[name] != names[other]
     ]
     alone = {'c%d' % n: '' for n in range(centres)}
-    towards = len(ring.neighbours('c0', alone))
-    assert len(far) == centres * towards * ring.CENTRE_LINKS
+    successors = len(overlay.neighbours('c0', alone))
+    assert (
+        len(remote_links)
+        == centres * successors * overlay.LINKS_BETWEEN_CENTRES
+    )
     hops, reached = reach(links, 'h0')
     assert reached == 240
     assert hops <= 12
 
 
-def test_overlay_bears_the_loss_of_most_links_between_data_centres():
-    """Guards against a data centre cut off until losses are noticed."""
+def test_overlay_tolerates_loss_of_most_links_between_data_centres():
+    """Guards against a data centre cut off until failures are detected."""
     names = {'h%d' % n: 'dc%d' % (n % 2) for n in range(40)}
-    links = {name: ring.neighbours(name, names) for name in names}
-    holders = [
+    links = {name: overlay.neighbours(name, names) for name in names}
+    link_hosts = [
         name
         for name, found in links.items()
         if names[name] == 'dc0'
         and any(names[other] == 'dc1' for other in found)
     ]
-    lost = holders[1:]
+    lost = link_hosts[1:]
     left = {name: found for name, found in links.items() if name not in lost}
     first = next(name for name in left if names[name] == 'dc0')
     assert reach(left, first)[1] == 40
 
 
-def test_digests_find_the_one_host_that_differs():
+def test_digests_identify_the_bucket_of_a_differing_host():
     ours, theirs = digest.Digest(), digest.Digest()
     for number in range(100):
         host = 'h%d' % number
@@ -410,11 +443,11 @@
     assert ours.total != theirs.total
 
 
-def test_an_inflated_body_is_refused():
-    """A record of a few hundred bytes inflates to gigabytes.
+def test_body_above_the_decompressed_limit_is_refused():
+    """Guards against records that exhaust the memory when decompressed.
 
-    Symptom: the process runs out of memory.  Sequence: a broken peer sends
-    it.  Cause: the size is looked at before it is inflated.
+    A few hundred bytes from a faulty peer can expand to gigabytes; the limit
+    must hold for the decompressed size.
     """
     upstreams = (messages.Row('x' * 200, 's', '', *[1] * 6),) * 500
     body = messages.Body('dc', 'r', 'p', 'g', False, upstreams)
