--- a/carawaystair/gateway/service.py
+++ b/carawaystair/gateway/service.py
@@ -235,7 +235,7 @@
         ends_at = now + max(node.drain_s - STOP_MARGIN_S, 0.0)
         self.caller_handler.stop_deadline = ends_at
         self.caller_handler.accept_until = min(now + node.lame_duck_s, ends_at)
-        self.membership.registry.close()
+        self.membership.registry.drain_all()
         self.executor.close()
         while clock.now() < self.caller_handler.accept_until:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
--- a/test/test_platform_documents.py
+++ b/test/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform: read right, or refused with a sentence."""
+"""Tests that documents of the platform are parsed or refused with a reason."""
 
 import json
 
@@ -13,10 +13,10 @@
 
 from adapter import configuration
 from adapter import fields
-from adapter import place
+from adapter import platform_settings
 from adapter import upstreams
 
-TERMS = configuration.Terms({'r': ('a', 'b')}, 70, 20)
+CONSTANTS = configuration.ManifestConstants({'r': ('a', 'b')}, 70, 20)
 JSON = strategies.recursive(
     strategies.none()
     | strategies.booleans()
@@ -33,15 +33,17 @@
 )
 
 
-def read(document, whole=True):
-    """Read a configuration that is given as a document."""
-    return configuration.read(json.dumps(document).encode(), whole, TERMS)
+def parse(document, complete=True):
+    """Parse a configuration given as a document."""
+    return configuration.parse(
+        json.dumps(document).encode(), complete, CONSTANTS
+    )
 
 
 def manifest_of(document):
-    """Return the checked manifest of a whole configuration."""
-    made = configuration.applied(read(document), None, TERMS)
-    result = manifests.read(configuration.document(made))
+    """Return the validated manifest of a complete configuration."""
+    manifest = configuration.apply(parse(document), None, CONSTANTS)
+    result = manifests.read(configuration.encode_manifest(manifest))
     assert result.is_ok(), result.error
     return result.ok
 
@@ -50,15 +52,17 @@
 
 
 def test_settings_of_a_host_with_an_upstream():
-    made = place.fleet_settings(place.read(platform_setup.settings()))
-    assert made.host == '10.1.0.41'
-    assert made.roles == ('node',)
-    assert made.node.listen == '10.1.0.41:8629'
-    assert made.node.gateway == '10.1.0.41:8624'
-    assert made.node.service == 'wuno96b'
-    assert made.seeds[0] == '10.1.0.48:7600'
-    assert made.node.drain_s < 6.0
-    assert made.node.retry_slack == 58
+    result = platform_settings.fleet_settings(
+        platform_settings.parse(platform_setup.settings())
+    )
+    assert result.host == '10.1.0.41'
+    assert result.roles == ('node',)
+    assert result.node.listen == '10.1.0.41:8629'
+    assert result.node.gateway == '10.1.0.41:8624'
+    assert result.node.service == 'wuno96b'
+    assert result.seeds[0] == '10.1.0.48:7600'
+    assert result.node.drain_s < 6.0
+    assert result.node.retry_slack == 58
 
 
 @pytest.mark.parametrize(
@@ -70,22 +74,24 @@
         ({'link_mbps': 1000}, 1000.0),
     ],
 )
-def test_settings_tell_the_rate_of_the_link(limits, mbps):
+def test_settings_contain_the_link_rate(limits, mbps):
     document = platform_setup.settings()
     if limits is not None:
         document['self']['limits'] = limits
-    made = place.fleet_settings(place.read(document))
-    assert made.node.link_mbps == mbps
+    result = platform_settings.fleet_settings(
+        platform_settings.parse(document)
+    )
+    assert result.node.link_mbps == mbps
 
 
 @pytest.mark.parametrize(
     'limits', [[], {'link_mbps': 'fast'}, {'link_mbps': -1.0}], ids=str
 )
-def test_rate_of_the_link_that_is_none_is_refused(limits):
+def test_invalid_link_rate_is_refused(limits):
     document = platform_setup.settings()
     document['self']['limits'] = limits
     with pytest.raises(fields.Malformed, match='limits|link_mbps'):
-        place.fleet_settings(place.read(document))
+        platform_settings.fleet_settings(platform_settings.parse(document))
 
 
 def test_settings_of_a_control_host():
@@ -97,16 +103,18 @@
         self__service=None,
         network__listen={'control': '10.1.0.48:8620'},
     )
-    made = place.fleet_settings(place.read(document))
-    assert made.roles == ('control',)
-    assert made.data_folder == '/data'
-    assert not made.control.founds
-    assert made.control.grow_to == 5
-    assert [v.peer for v in made.control.voters] == list(made.seeds)
+    result = platform_settings.fleet_settings(
+        platform_settings.parse(document)
+    )
+    assert result.roles == ('control',)
+    assert result.data_folder == '/data'
+    assert not result.control.founds
+    assert result.control.grow_to == 5
+    assert [v.peer for v in result.control.voters] == list(result.seeds)
 
 
 @pytest.mark.parametrize(
-    'path, value, named',
+    'path, value, message',
     [
         ('self__ip', None, 'self.ip is missing'),
         ('self__ip', 7, 'self.ip must be text'),
@@ -119,22 +127,22 @@
         ('terms', None, 'settings.terms is missing'),
     ],
 )
-def test_mistake_in_settings_is_named(path, value, named):
+def test_error_names_the_invalid_setting(path, value, message):
     document = platform_setup.settings(**{path: value})
-    with pytest.raises(fields.Malformed, match=named):
-        place.read(document)
+    with pytest.raises(fields.Malformed, match=message):
+        platform_settings.parse(document)
 
 
-def test_unknown_settings_are_passed_over():
+def test_unknown_settings_are_ignored():
     document = platform_setup.settings(self__colour='blue')
     document['weather'] = {'rain': True}
-    assert place.read(document).ip == '10.1.0.41'
+    assert platform_settings.parse(document).ip == '10.1.0.41'
 
 
 @hypothesis.given(JSON)
-def test_any_settings_are_read_or_refused(document):
+def test_arbitrary_settings_are_parsed_or_refused(document):
     try:
-        place.read(document if isinstance(document, dict) else {})
+        platform_settings.parse(document if isinstance(document, dict) else {})
     except fields.Malformed as error:
         assert str(error)
 
@@ -142,7 +150,7 @@
 # Configurations
 
 
-def test_configuration_comes_back_as_it_was_sent():
+def test_configuration_survives_a_round_trip():
     split = [
         {'service': 'one', 'weight': 90},
         {'service': 'two', 'weight': 10},
@@ -162,8 +170,8 @@
     )
     manifest = manifest_of(sent)
     stored = rows.to_manifest(rows.from_manifest(manifest))
-    back = configuration.written(stored)
-    assert back['version'] == sent['version']
+    returned = configuration.to_document(stored)
+    assert returned['version'] == sent['version']
 
     def _sorted(document):
         return sorted(document['resources'], key=json.dumps)
@@ -171,10 +179,10 @@
     def _plain(document):
         return [json.dumps(item, sort_keys=True) for item in _sorted(document)]
 
-    assert sorted(_plain(back)) == sorted(_plain(sent))
+    assert sorted(_plain(returned)) == sorted(_plain(sent))
 
 
-def test_kinds_of_routes_say_what_may_be_repeated():
+def test_route_type_sets_idempotence_and_kind():
     sent = platform_setup.configuration(
         platform_setup.route('a', path_prefix='/a/'),
         platform_setup.route('b', path_prefix='/b/', route_type='unsafe'),
@@ -193,7 +201,7 @@
     assert found['a'].goal_ms == 1500
 
 
-def test_change_of_named_items():
+def test_partial_change_upserts_and_removes_routes():
     now = manifest_of(
         platform_setup.configuration(
             platform_setup.route('a', path_prefix='/a/'),
@@ -211,13 +219,13 @@
         },
         'remove': {'routes': ['b']},
     }
-    made = configuration.applied(read(change, whole=False), now, TERMS)
-    assert {r.name: r.service for r in made.routes} == {
+    result = configuration.apply(parse(change, complete=False), now, CONSTANTS)
+    assert {r.name: r.service for r in result.routes} == {
         'a': 'two',
         'c': 'one',
     }
-    assert made.limits == now.limits
-    assert made.revision == 9
+    assert result.limits == now.limits
+    assert result.revision == 9
 
 
 @pytest.mark.parametrize(
@@ -246,63 +254,65 @@
 def test_invalid_routes_are_refused(changes):
     sent = platform_setup.configuration(platform_setup.route(**changes))
     try:
-        made = configuration.applied(read(sent), None, TERMS)
+        result = configuration.apply(parse(sent), None, CONSTANTS)
     except fields.Malformed as error:
         assert str(error).endswith('.')
         return
-    assert manifests.read(configuration.document(made)).is_error()
+    assert manifests.read(configuration.encode_manifest(result)).is_error()
 
 
-def test_configuration_that_is_cut_short_is_refused():
+def test_truncated_configuration_is_refused():
     data = json.dumps(platform_setup.configuration()).encode()
     for end in range(0, len(data) - 1, 37):
         with pytest.raises(fields.Malformed):
-            configuration.read(data[:end], True, TERMS)
+            configuration.parse(data[:end], True, CONSTANTS)
 
 
 @hypothesis.given(JSON, strategies.booleans())
-def test_any_configuration_is_read_or_refused(document, whole):
+def test_arbitrary_configuration_is_parsed_or_refused(document, complete):
     try:
-        read(document, whole)
+        parse(document, complete)
     except fields.Malformed as error:
         assert str(error)
 
 
 @hypothesis.given(strategies.binary(max_size=64))
-def test_any_bytes_are_refused_as_a_configuration(data):
+def test_arbitrary_bytes_are_refused_as_a_configuration(data):
     with pytest.raises(fields.Malformed):
-        configuration.read(data, True, TERMS)
+        configuration.parse(data, True, CONSTANTS)
 
 
 # Heartbeats
 
-BEAT = platform_setup.HEARTBEAT
+HEARTBEAT = platform_setup.HEARTBEAT
 
 
 def test_heartbeat_becomes_an_announcement():
-    beat = upstreams.read(json.dumps(BEAT).encode())
-    said = beat.announcement
-    assert (said.service, said.slots, said.state) == (
+    heartbeat = upstreams.parse_heartbeat(json.dumps(HEARTBEAT).encode())
+    announcement = heartbeat.announcement
+    assert (announcement.service, announcement.slots, announcement.state) == (
         'huvo11a',
         4,
         interfaces.UP,
     )
-    assert (said.warmup_s, beat.number) == (1.5, 4)
-    leaving = upstreams.read(json.dumps(BEAT | {'state': 'draining'}).encode())
+    assert (announcement.warmup_s, heartbeat.sequence) == (1.5, 4)
+    leaving = upstreams.parse_heartbeat(
+        json.dumps(HEARTBEAT | {'state': 'draining'}).encode()
+    )
     assert leaving.announcement.state == interfaces.DRAINING
 
 
 @pytest.mark.parametrize('name', ['service', 'address', 'slots', 'state'])
 def test_heartbeat_without_a_field_is_refused(name):
-    beat = {key: value for key, value in BEAT.items() if key != name}
+    heartbeat = {key: value for key, value in HEARTBEAT.items() if key != name}
     with pytest.raises(fields.Malformed, match='heartbeat.%s' % name):
-        upstreams.read(json.dumps(beat).encode())
+        upstreams.parse_heartbeat(json.dumps(heartbeat).encode())
 
 
 @hypothesis.given(JSON)
-def test_any_heartbeat_is_read_or_refused(document):
+def test_arbitrary_heartbeat_is_parsed_or_refused(document):
     try:
-        upstreams.read(json.dumps(document).encode())
+        upstreams.parse_heartbeat(json.dumps(document).encode())
     except fields.Malformed as error:
         assert str(error)
 
@@ -310,13 +320,13 @@
 @pytest.mark.parametrize(
     'text, ms', [('1500ms', 1500), ('2.5s', 2500), ('0ms', 0), ('0.5ms', 0)]
 )
-def test_times(text, ms):
-    assert fields.time_ms({'t': text}, 't', 'x') == ms
+def test_durations_are_parsed(text, ms):
+    assert fields.duration_ms({'t': text}, 't', 'x') == ms
 
 
 @pytest.mark.parametrize(
     'text', ['', '5', '5 s', '-1s', '1h', 's', 5, None, '1e9s', '90000s']
 )
-def test_times_that_are_none(text):
+def test_invalid_durations_are_refused(text):
     with pytest.raises(fields.Malformed):
-        fields.time_ms({'t': text}, 't', 'x')
+        fields.duration_ms({'t': text}, 't', 'x')
