--- a/carawaystair/membership/address_locations.py
+++ b/carawaystair/membership/address_locations.py
@@ -1,4 +1,4 @@
-"""The data data_centres of the addresses that hosts announce."""
+"""Data centres of the addresses that hosts announce."""
 
 from carawaystair.membership import table as tables
 
