--- a/carawaystair/admission/gate.py
+++ b/carawaystair/admission/gate.py
@@ -84,7 +84,7 @@
         if invariants.check(
             invariants.SLOT_ACCOUNTING,
             gate is not None,
-            'permit released twice',
+            'released twice',
         ):
             gate.finish(self, outcome, latency_s)
 
--- a/carawaystair/gateway/executor.py
+++ b/carawaystair/gateway/executor.py
@@ -527,7 +527,7 @@
                 outcome,
                 codes.ANSWER_MALFORMED,
                 True,
-                'answer without a receipt',
+                'no receipt',
             )
         if answer.status in NOT_RUN_STATUSES:
             # Forwarded, it would promise that the request has not run.
@@ -536,7 +536,7 @@
                 outcome,
                 codes.ANSWER_LOST,
                 True,
-                'status %d without the not-run header' % answer.status,
+                'status %d without a mark' % answer.status,
             )
         return answer
 
--- a/carawaystair/gateway/instances.py
+++ b/carawaystair/gateway/instances.py
@@ -111,7 +111,7 @@
         ]
         for attempt in found:
             attempt.connection.proto.fail(
-                aiohttp.ServerDisconnectedError('its upstream has restarted')
+                aiohttp.ServerDisconnectedError('its upstream started anew')
             )
         return len(found)
 
--- a/carawaystair/gateway/slots.py
+++ b/carawaystair/gateway/slots.py
@@ -61,7 +61,7 @@
         )
         try:
             if not await future:
-                raise Refused(rejection.HOPELESS, 'no slot in time')
+                raise Refused(rejection.HOPELESS, 'its time is over')
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
                 # The slot was assigned at the moment of cancellation.
--- a/carawaystair/load/upstream_gate.py
+++ b/carawaystair/load/upstream_gate.py
@@ -87,7 +87,7 @@
             not offer.final, failure_probability, offer.service_healthy, now
         ):
             return Answer('', True)
-        detail = 'expected value %.2f below %.2f, failure probability %.2f' % (
+        detail = 'worth %.2f of %.2f, fails %.2f' % (
             value,
             offer.min_value,
             failure_probability,
--- a/carawaystair/membership/registry.py
+++ b/carawaystair/membership/registry.py
@@ -383,7 +383,7 @@
         (bounds.number_ok(number), 'number'),
         (
             settings.address_ok(announcement.address),
-            'address: must be an IPv4 address and port',
+            'address: no IP number and port',
         ),
         (0 < announcement.slots <= MAX_SLOTS, 'slots: 1 to %d' % MAX_SLOTS),
         (
--- a/carawaystair/outlier/evidence.py
+++ b/carawaystair/outlier/evidence.py
@@ -244,7 +244,7 @@
             self.health.refresh(service)
             self.timeline.record(
                 'upstream-ejected',
-                'Decided by this node alone.',
+                'By this node alone.',
                 service=service,
                 upstream=attempt.upstream,
             )
--- a/carawaystair/outlier/leadership.py
+++ b/carawaystair/outlier/leadership.py
@@ -229,7 +229,7 @@
         role.epoch += 1
         role.coordinator.takeover_done = True
         held = role.coordinator.store.unhealthy()
-        text = 'Epoch %d with %d lease(s) outstanding.' % (
+        text = 'Epoch %d with %d outstanding.' % (
             role.epoch,
             len(held),
         )
--- a/carawaystair/outlier/service_outage.py
+++ b/carawaystair/outlier/service_outage.py
@@ -51,14 +51,14 @@
         if not self.active and share >= MIN_BAD_SHARE:
             self.active = True
             self.last_bad_at = now
-            text = 'Ejections are suspended and all upstreams are used.'
+            text = 'Ejections have stopped and every upstream is used.'
             self.store.add_event('all-upstreams-bad', '', text)
             return True
         if self.active and share >= RECOVERED_SHARE:
             self.last_bad_at = now
         if self.active and now - self.last_bad_at >= RECOVERED_S:
             self.active = False
-            text = 'Some upstreams are healthy again; ejections resume.'
+            text = 'Some upstreams are well again; ejections are resumed.'
             self.store.add_event('some-upstreams-good', '', text)
         return False
 
--- a/carawaystair/outlier/state_machine.py
+++ b/carawaystair/outlier/state_machine.py
@@ -143,7 +143,7 @@
             record.set_state(upstream_record.RETURNING, 1.0, now)
             self.pool.include(record.upstream)
             self.store.mark_changed(record)
-            text = 'It passed %d trials.' % tuning.min_trials
+            text = 'It answered %d trials well.' % tuning.min_trials
             self.store.add_event('upstream-returned', record.upstream, text)
 
     def _step_returning(self, record, evidence, tuning, now) -> None:
--- a/carawaystair/quarantine/crash_detection.py
+++ b/carawaystair/quarantine/crash_detection.py
@@ -22,7 +22,7 @@
 CONFIRM_TIMEOUT_S = 8.0
 
 REFUSED = 'it refuses connections'
-FOLLOWED = 'it restarted or its heartbeats stopped'
+FOLLOWED = 'it started anew or fell silent'
 
 
 class SuspectedCrash:
--- a/carawaystair/quarantine/service.py
+++ b/carawaystair/quarantine/service.py
@@ -94,7 +94,7 @@
             for digest in self.suspects.expire(clock.now()):
                 self.trials.pop(digest, None)
             for digest in list(self.refused):
-                self._check(digest, 'the hold time is over')
+                self._check(digest, 'its time is over')
 
     # Interface to the request path
 
@@ -173,7 +173,7 @@
         """Clear a request that was answered successfully."""
         if digest:
             facts = self.suspects.record_success(digest, clock.now())
-            self._clear(facts, 'it succeeded')
+            self._clear(facts, 'it ended well')
 
     def clear(self, digest: str) -> int:
         """Clear a request on behalf of an operator.
@@ -240,7 +240,7 @@
         )
         for digest in dict.fromkeys(fact.digest for fact in new_facts):
             self._clear_if_succeeded(digest, now)
-            self._check(digest, why or 'reported by %s' % sender)
+            self._check(digest, why or 'told by %s' % sender)
 
     def _clear_if_succeeded(self, digest: str, now: float) -> None:
         """Clear a suspected request that succeeded here recently."""
@@ -248,7 +248,7 @@
             return
         if self.suspects.standing(digest, now).crashes >= CLEAR_AT_CRASHES:
             facts = self.suspects.clearing_facts(digest, now)
-            self._clear(facts, 'it succeeded here recently')
+            self._clear(facts, 'it ended well here of late')
 
     def _check(self, digest: str, why: str) -> None:
         """Log and count the start or the end of a refusal."""
--- a/carawaystair/request/answer.py
+++ b/carawaystair/request/answer.py
@@ -78,10 +78,10 @@
     length = message.headers.get('Content-Length')
     if message.chunked:
         if length is not None:
-            raise ValueError('both Content-Length and chunked encoding')
+            raise ValueError('both Content-Length and chunks')
         return None
     if length is None or not length.isdecimal() or not length.isascii():
-        raise ValueError('no valid Content-Length')
+        raise ValueError('no length')
     return int(length)
 
 
--- a/carawaystair/request/attempt.py
+++ b/carawaystair/request/attempt.py
@@ -134,7 +134,7 @@
                 interfaces.CANCELLED,
                 codes.UPSTREAM_REFUSED,
                 False,
-                'upstream is leaving',
+                'leaving',
             )
         proto = self.connection.proto
         proto.expect(call.method == 'HEAD')
@@ -148,7 +148,7 @@
                 interfaces.CANCELLED,
                 codes.CONNECT_FAILED,
                 False,
-                'connection closed before the request was sent',
+                'ended',
             )
         self.sent = True
         self.write(head)
@@ -256,7 +256,7 @@
         """Check an interim answer (1xx), which precedes the final one."""
         if message.code == 101:
             # The request did not ask for an upgrade.
-            raise self._failure(codes.ANSWER_MALFORMED, 'unexpected 101')
+            raise self._failure(codes.ANSWER_MALFORMED, 'unasked 101')
 
     def check_request_id(self, message) -> None:
         """Check that an answer belongs to this request.
--- a/carawaystair/request/handler.py
+++ b/carawaystair/request/handler.py
@@ -179,4 +179,4 @@
         stream = transfer.Transfer(self.sender, call, answer, exchange, permit)
         if not await stream.run():
             exchange.keep_alive = False
-            self.meters.record_broken(call.id, 'The answer was cut off.')
+            self.meters.record_broken(call.id, 'The answer broke off.')
--- a/carawaystair/request/http_client.py
+++ b/carawaystair/request/http_client.py
@@ -148,11 +148,7 @@
         """Parse received data."""
         if not self.awaiting_answer:
             # The data would be taken for the answer to the next request.
-            self._fail(
-                aiohttp.ClientConnectionError(
-                    'received data without a request'
-                )
-            )
+            self._fail(aiohttp.ClientConnectionError('bytes out of turn'))
             return
         try:
             messages, upgraded, _tail = self._parser.feed_data(data)
@@ -168,9 +164,7 @@
             )
             self.heads.append((message, payload))
         if upgraded:
-            self._fail(
-                http.HttpProcessingError(message='unexpected protocol upgrade')
-            )
+            self._fail(http.HttpProcessingError(message='another protocol'))
         elif messages:
             self._wake(True)
 
--- a/carawaystair/request/transfer.py
+++ b/carawaystair/request/transfer.py
@@ -142,7 +142,7 @@
             else:
                 break
         if self.range.end is not None and self._next_byte < self.range.end:
-            raise ConnectionError('answer shorter than declared')
+            raise ConnectionError('fewer bytes than were announced')
         if self.attempt is not None:
             self.sender.finish(self.attempt)
             self.attempt = None
@@ -163,7 +163,7 @@
     async def _write(self, chunk: bytes) -> None:
         self.bytes_sent += len(chunk)
         if self.range.end is not None and self._next_byte > self.range.end:
-            raise TransferError('answer longer than declared')
+            raise TransferError('more bytes than were announced')
         try:
             await self.exchange.request.writer.write(chunk, drain=False)
             await self.exchange.wait_drained()
--- a/carawaystair/request/validation.py
+++ b/carawaystair/request/validation.py
@@ -53,13 +53,10 @@
     :param standing: its standing at this node; a gateway may know of more
         crashes.
     """
-    detail = (
-        '%d upstreams crashed while running it, the last %.1f s ago: %s'
-        % (
-            standing.crashes,
-            standing.age_s,
-            ' '.join(standing.incarnations),
-        )
+    detail = '%d upstreams crashed under it, the last %.1f s ago: %s' % (
+        standing.crashes,
+        standing.age_s,
+        ' '.join(standing.incarnations),
     )
     after_s = max(standing.refused_s, retry_after.MAX_S)
     return Refused(codes.CRASHES_UPSTREAMS, detail, after_s)
@@ -94,14 +91,12 @@
         authority, slash, path = rest.partition('/')
         host, path = authority, slash + path
         if not slash or not authority:
-            raise Refused(codes.NO_ROUTE, 'request target without a path')
+            raise Refused(codes.NO_ROUTE, 'no path')
     if '/.' in path or '%' in path or '\\' in path:
         if DOT_SEGMENT.search(path.partition('?')[0]):
             raise Refused(codes.PATH_REFUSED)
     if not path.isascii() or not host.isascii():
-        raise Refused(
-            codes.REQUEST_MALFORMED, 'non-ASCII bytes in path or host'
-        )
+        raise Refused(codes.REQUEST_MALFORMED, 'bytes beyond ASCII')
     if not host.endswith(']'):
         host = host.rpartition(':')[0] or host
     return RequestTarget(host.lower(), path.partition('#')[0], authority)
@@ -186,7 +181,7 @@
     """Return the value of a header that must not be repeated."""
     value = fields.get(name)
     if value is not None and len(fields.getall(name)) > 1:
-        raise Refused(code, 'header is repeated')
+        raise Refused(code, 'repeated')
     return value
 
 
--- a/test/test_outlier_fleet.py
+++ b/test/test_outlier_fleet.py
@@ -132,7 +132,7 @@
                 for node in alive
             )
         takeover = world.events('coordinator-took-over')[-1]
-        assert takeover.text == 'Epoch 2 with 1 lease(s) outstanding.'
+        assert takeover.text == 'Epoch 2 with 1 outstanding.'
 
     run_world(body)
 
